--- a/bench/operations.cpp
+++ b/bench/operations.cpp
@@ -1,6 +1,6 @@
-// What the operators' address costs: CPU for an order while its figures are fetched, and what silent callers
-// there do to orders and to other callers. Figures are ratios of alternating rounds in one run; a table goes
-// to standard output.
+// What the operators' address costs: CPU for an order while its figures are fetched, and what
+// silent callers there do to orders and to other callers. Figures are ratios of alternating rounds
+// in one run; a table goes to standard output.
 //
 //     oatledge_bench_operations PROGRAM CONFIG [ROUNDS]
 #include <algorithm>
@@ -38,7 +38,8 @@
       Order o;
       o.id = ++ids, o.query = "news=1";
       Answer a = client.hand_in(o);
-      if (a.status != 200) throw std::runtime_error("an order failed");
+      if (a.status != 200)
+        throw std::runtime_error("an order failed");
       ms.push_back(a.ms);
     }
     return {(dispatcher.cpu_ms() - before) / kOrders, median(ms)};
@@ -59,8 +60,10 @@
       : thread_([this, operators, every_ms] {
           while (!over_) {
             auto start = std::chrono::steady_clock::now();
-            if (call(operators, "GET", "/admin/stats").status != 200) ++failed;
-            std::chrono::duration<double, std::milli> took = std::chrono::steady_clock::now() - start;
+            if (call(operators, "GET", "/admin/stats").status != 200)
+              ++failed;
+            std::chrono::duration<double, std::milli> took =
+                std::chrono::steady_clock::now() - start;
             longest_ms = std::max(longest_ms, took.count());
             std::this_thread::sleep_for(std::chrono::milliseconds(every_ms));
           }
@@ -80,7 +83,8 @@
 }  // namespace
 
 int main(int argc, char** argv) try {
-  if (argc < 3) throw std::runtime_error("usage: oatledge_bench_operations PROGRAM CONFIG [ROUNDS]");
+  if (argc < 3)
+    throw std::runtime_error("usage: oatledge_bench_operations PROGRAM CONFIG [ROUNDS]");
   int rounds = argc > 3 ? std::stoi(argv[3]) : 7;
   Rig rig(argv[1], argv[2]);
   const std::string operators = rig.dispatcher.operators();
@@ -99,7 +103,8 @@
       each_10ms.push_back(rig.round().cpu_ms / idle.cpu_ms);
     }
     std::vector<std::unique_ptr<Regular>> silent;
-    for (int n = 0; n < 100; ++n) silent.push_back(std::make_unique<Regular>(operators));
+    for (int n = 0; n < 100; ++n)
+      silent.push_back(std::make_unique<Regular>(operators));
     Caller caller(operators, 10);
     Rig::Round beside = rig.round();
     silent_cpu.push_back(beside.cpu_ms / idle.cpu_ms),
@@ -107,14 +112,17 @@
     silent_descriptors = std::max(silent_descriptors, rig.descriptors());
     call_ms.push_back(caller.longest_ms), failed += caller.failed;
   }
-  std::printf("CPU for an order, against that with the operators' address idle (median of %d rounds)\n",
-              rounds);
+  std::printf(
+      "CPU for an order, against that with the operators' address idle (median of %d rounds)\n",
+      rounds);
   std::printf("  figures fetched each second            %.2f\n", median(each_second));
   std::printf("  figures fetched each 10 ms             %.2f\n", median(each_10ms));
   std::printf("  the same beside 100 silent callers     %.2f\n", median(silent_cpu));
   std::printf("time of an order beside them             %.2f\n", median(silent_order));
-  std::printf("a call beside them, longest              %.1f ms, %d failed\n", median(call_ms), failed);
-  std::printf("descriptors, idle and beside them        %zu and %zu\n", idle_descriptors, silent_descriptors);
+  std::printf("a call beside them, longest              %.1f ms, %d failed\n", median(call_ms),
+              failed);
+  std::printf("descriptors, idle and beside them        %zu and %zu\n", idle_descriptors,
+              silent_descriptors);
   return 0;
 } catch (const std::exception& e) {
   std::fprintf(stderr, "oatledge_bench_operations: %s\n", e.what());
--- a/include/stagehinge/dispatcher.h
+++ b/include/stagehinge/dispatcher.h
@@ -1,6 +1,7 @@
 // The interface of stagehinge: settings, events, actions and the class Dispatcher.
-// Sans-I/O: the caller feeds events and carries out the actions that come back at once. The time given with
-// an event is the one at which it is fed, also after a stall, when the event itself is older.
+// Sans-I/O: the caller feeds events and carries out the actions that come back at once. The time
+// given with an event is the one at which it is fed, also after a stall, when the event itself is
+// older.
 #pragma once
 
 #include <chrono>
@@ -48,7 +49,8 @@
   // permissions
   int max_attempts = 1;
   bool parallel_tries = false;
-  std::optional<Duration> connect_timeout;  // absent or absurd: keyed jobs that may have run are not repeated
+  std::optional<Duration>
+      connect_timeout;  // absent or absurd: keyed jobs that may have run are not repeated
   bool cancelling = false;
   bool may_probe = false;
   Duration max_retry_after{0};  // 0: clients take no advice on when to return
@@ -65,20 +67,22 @@
   Duration ramp_time{0};     // ...and all of it after this
   double tip_multiple = 1;   // a cold worker sent this multiple of its capacity...
   Duration fall_span{1000};  // ...for this long falls over
-  // The retry budget: within any window, attempts beyond a request's first number at most the free ones plus
-  // this share of the requests taken. Given all three or not at all; not at all: unlimited.
+  // The retry budget: within any window, attempts beyond a request's first number at most the free
+  // ones plus this share of the requests taken. Given all three or not at all; not at all:
+  // unlimited.
   std::optional<double> budget_free, extra_per_request;
   std::optional<Duration> extra_window;
   // prices, each as a fraction of the day's worth for one unit a request
   double price_cross_zone = 0;
-  // Requests a second of each tenant, at all dispatchers together, that are worth all; one beyond its
-  // tenant's share is worth this part. Empty: there are no tenants.
+  // Requests a second of each tenant, at all dispatchers together, that are worth all; one beyond
+  // its tenant's share is worth this part. Empty: there are no tenants.
   std::vector<double> tenant_quotas;
   double over_share_worth = 1;
   bool worth_by_work = false;
 };
 
-void validate(const Settings& settings);  // throws std::invalid_argument on settings that make no sense
+void validate(
+    const Settings& settings);  // throws std::invalid_argument on settings that make no sense
 
 struct WorkerEntry {
   std::string_view worker;
@@ -103,7 +107,8 @@
   double slots = 1;
   double memory = 0;
   std::size_t tenant = 0;
-  // Its body goes to the worker as it comes: what has passed since the send tells nothing of the worker.
+  // Its body goes to the worker as it comes: what has passed since the send tells nothing of the
+  // worker.
   bool streamed = false;
   Duration transfer{0};  // beyond patience, for the way of its body
 };
@@ -131,7 +136,8 @@
 
 using Actions = std::vector<Action>;
 
-// One scheduler's decisions. Throws std::invalid_argument on settings that make no sense, and never else.
+// One scheduler's decisions. Throws std::invalid_argument on settings that make no sense, and never
+// else.
 class Dispatcher {
  public:
   Dispatcher(const Settings& settings, Time now, std::vector<Action>& out);
@@ -140,18 +146,20 @@
   Dispatcher& operator=(Dispatcher&&) noexcept;
 
   // Each event appends what is to be done to `out`.
-  void on_list(Time now, ListKind kind, const std::vector<WorkerEntry>& entries, std::vector<Action>& out);
-  // Settings that hold for the requests to come; throws as the constructor does, and nothing has changed
-  // then. The numbers of classes and tenants mean the same ones for good: new ones come behind, none is used
-  // anew.
+  void on_list(Time now, ListKind kind, const std::vector<WorkerEntry>& entries,
+               std::vector<Action>& out);
+  // Settings that hold for the requests to come; throws as the constructor does, and nothing has
+  // changed then. The numbers of classes and tenants mean the same ones for good: new ones come
+  // behind, none is used anew.
   void on_settings(const Settings& settings);
   void on_request(Time now, const Request& request, std::vector<Action>& out);
-  void on_note(Time now, RequestId id, int attempt, std::string_view worker, NoteKind kind, Actions& out);
+  void on_note(Time now, RequestId id, int attempt, std::string_view worker, NoteKind kind,
+               Actions& out);
   void on_attempt_end(Time now, const AttemptEnd& end, std::vector<Action>& out);
   void on_probe_result(Time now, std::string_view worker, Outcome outcome, const LoadReport& report,
                        std::vector<Action>& out);
-  // What the other dispatchers say they have at a worker now, in jobs: hearsay, no more than a guess of its
-  // load.
+  // What the other dispatchers say they have at a worker now, in jobs: hearsay, no more than a
+  // guess of its load.
   void on_peers(Time now, std::string_view worker, double jobs, std::vector<Action>& out);
   void on_client_gone(Time now, RequestId id, std::vector<Action>& out);
   void on_timer(Time now, std::vector<Action>& out);
@@ -160,7 +168,8 @@
   double cutoff_ms() const;  // hints below it are short
   bool in_short_pool(std::string_view worker) const;
   std::size_t open_requests() const;
-  bool avoids(std::string_view worker) const;  // it is known and gets no ordinary job now: draining or down
+  bool avoids(
+      std::string_view worker) const;  // it is known and gets no ordinary job now: draining or down
 
  private:
   class Logic;
@@ -175,8 +184,9 @@
   void add(Time now, double work_ms);
   double samples() const { return count_; }
   double work_rate(Time now) const;  // work offered for each ms of recent time
-  // Equal mean slowdown of short and long jobs when `load` of the capacity is offered and the short pool
-  // holds `short_share` of that capacity; nothing when no cutoff leaves both pools under their capacity.
+  // Equal mean slowdown of short and long jobs when `load` of the capacity is offered and the short
+  // pool holds `short_share` of that capacity; nothing when no cutoff leaves both pools under their
+  // capacity.
   std::optional<double> fair_cutoff(double load, double short_share) const;
   double rule_of_thumb_cutoff(double load) const;  // short jobs carry load/2 of the work
 
@@ -195,20 +205,21 @@
   Time decayed_{};
 };
 
-// Hints of one class against the work its jobs turned out to be, in logarithms and fading. Rough hints
-// regress to the mean: of the shortest most are too short. The slope says by how much to believe them.
+// Hints of one class against the work its jobs turned out to be, in logarithms and fading. Rough
+// hints regress to the mean: of the shortest most are too short. The slope says by how much to
+// believe them.
 class HintModel {
  public:
-  double expected(
-      double hint_ms) const;  // the sum over jobs stays that of the hints, only their spread shrinks
-  double spread() const;      // how far, as a factor, a job may well be over what is expected of it
+  double expected(double hint_ms)
+      const;              // the sum over jobs stays that of the hints, only their spread shrinks
+  double spread() const;  // how far, as a factor, a job may well be over what is expected of it
   void learn(double hint_ms, double seen_ms);
 
  private:
   double slope() const;
 
-  double n_ = 0, hint_mean_ = 0, seen_mean_ = 0, hint_var_ = 0, seen_var_ = 0, both_ = 0, hints_ = 0,
-         bent_ = 0;
+  double n_ = 0, hint_mean_ = 0, seen_mean_ = 0, hint_var_ = 0, seen_var_ = 0, both_ = 0,
+         hints_ = 0, bent_ = 0;
 };
 
 }  // namespace stagehinge
--- a/lab/fleet_scenes.h
+++ b/lab/fleet_scenes.h
@@ -21,8 +21,10 @@
       // three quarters of the dispatchers are killed within a second and start again from old lists
       {"herd", [](Options&) {},
        [](FleetWorld& w) {
-         for (int i = 0; i < 20; ++i) w.at(4 + 0.05 * i, [&w, i] { w.replace(i); });
-         for (int i = 0; i < 75; ++i) w.at(5 + i / 75.0, [&w, i] { w.kill(i, 0.3); });
+         for (int i = 0; i < 20; ++i)
+           w.at(4 + 0.05 * i, [&w, i] { w.replace(i); });
+         for (int i = 0; i < 75; ++i)
+           w.at(5 + i / 75.0, [&w, i] { w.kill(i, 0.3); });
        },
        20},
       // a third of the workers vanish silently and come back cold, all together
@@ -35,14 +37,17 @@
       // six in ten are replaced by new ones within seven seconds
       {"replace", [](Options& o) { o.load = 0.4; },
        [](FleetWorld& w) {
-         for (int i = 0; i < 36; ++i) w.at(5 + 7.0 * i / 36, [&w, i] { w.replace(i); });
+         for (int i = 0; i < 36; ++i)
+           w.at(5 + 7.0 * i / 36, [&w, i] { w.replace(i); });
        },
        24},
       // a few workers fail or crawl, a few dispatchers carry ten times the traffic of the rest
       {"uneven", [](Options& o) { o.busy = 5; },
        [](FleetWorld& w) {
-         for (int i = 0; i < 3; ++i) w.at(4, [&w, i] { w.make_bad(i, 0.7, 1); });
-         for (int i = 3; i < 6; ++i) w.at(4, [&w, i] { w.make_bad(i, 0, 0.15); });
+         for (int i = 0; i < 3; ++i)
+           w.at(4, [&w, i] { w.make_bad(i, 0.7, 1); });
+         for (int i = 3; i < 6; ++i)
+           w.at(4, [&w, i] { w.make_bad(i, 0, 0.15); });
        },
        20},
       // half of all messages between dispatchers are lost
@@ -51,7 +56,8 @@
   return scenes;
 }
 
-// What a fleet should come out of again: a fault from second 6 to `over`. Three dispatchers for each worker.
+// What a fleet should come out of again: a fault from second 6 to `over`. Three dispatchers for
+// each worker.
 struct JamScene {
   const char* name;
   void (*troubles)(FleetWorld&, int dispatchers);
@@ -95,10 +101,12 @@
 inline FleetCounts play(const JamScene& scene, std::uint64_t seed, int dispatchers = 300,
                         FleetWorld::Where* at_over = nullptr) {
   FleetWorld::Options o;
-  o.dispatchers = dispatchers, o.workers = dispatchers / 3, o.load = 0.75, o.keyed = 0.25, o.seed = seed;
+  o.dispatchers = dispatchers, o.workers = dispatchers / 3, o.load = 0.75, o.keyed = 0.25,
+  o.seed = seed;
   FleetWorld world(o);
   scene.troubles(world, dispatchers);
-  if (at_over) world.at(scene.over, [&] { *at_over = world.where(); });
+  if (at_over)
+    world.at(scene.over, [&] { *at_over = world.where(); });
   world.run_until(kJamSeconds);
   return world.counts();
 }
--- a/lab/fleet_world.cpp
+++ b/lab/fleet_world.cpp
@@ -24,12 +24,15 @@
 constexpr double kCallPatience = 3000;
 constexpr double kLook = 100;  // how often the world looks who avoids what has vanished
 
-double ms(Duration d) { return d.count(); }
+double ms(Duration d) {
+  return d.count();
+}
 
 }  // namespace
 
 double FleetCounts::learned_at(double part) const {
-  if (learned.empty()) return -1;
+  if (learned.empty())
+    return -1;
   std::vector<double> sorted = learned;
   std::ranges::sort(sorted);
   return sorted[std::min(sorted.size() - 1,
@@ -38,15 +41,17 @@
 
 double FleetCounts::share(double from, double to) const {
   long all = 0, good = 0;
-  for (auto i = static_cast<std::size_t>(from); i < std::min(came.size(), static_cast<std::size_t>(to)); ++i)
+  for (auto i = static_cast<std::size_t>(from);
+       i < std::min(came.size(), static_cast<std::size_t>(to)); ++i)
     all += came[i], good += in_time[i];
   return all ? double(good) / double(all) : 0;
 }
 
 double FleetCounts::settles(double start, double end, double part) const {
-  double before = share(1, start - 1);                        // a fault spoils what came just before it
+  double before = share(1, start - 1);  // a fault spoils what came just before it
   for (double at = end; at + 6 <= double(came.size()); ++at)  // the last ones are still open
-    if (share(at, at + 1) >= part * before && share(at, at + 3) >= part * before) return at - end;
+    if (share(at, at + 1) >= part * before && share(at, at + 3) >= part * before)
+      return at - end;
   return -1;
 }
 
@@ -54,17 +59,20 @@
   settings_.balancers = options.thinks_alone ? 1 : options.dispatchers;
   stagehinge::ClassSettings c;
   c.name = "order", c.effect = stagehinge::Effect::Unsafe, c.group = stagehinge::Group::All;
-  c.memory_span = Duration(5000), c.aim = Duration(300), c.stretch = 2.5, c.deadline = Duration(5000);
+  c.memory_span = Duration(5000), c.aim = Duration(300), c.stretch = 2.5,
+  c.deadline = Duration(5000);
   c.late_worth = 0.5;
   settings_.classes = {c};
   c.name = "keyed", c.effect = stagehinge::Effect::Keyed, c.late_worth = 0.3;
-  if (options.keyed > 0) settings_.classes.push_back(c);
+  if (options.keyed > 0)
+    settings_.classes.push_back(c);
   settings_.tick = Duration(2), settings_.max_attempts = 3, settings_.parallel_tries = true;
   settings_.connect_timeout = Duration(kConnect), settings_.cancelling = true;
   settings_.must_subscribe = true, settings_.reports = stagehinge::ReportMode::Inline,
   settings_.tells_start = true;
   settings_.answer_slack = Duration(8), settings_.must_ask_in = Duration(10000);
-  settings_.drain_grace = Duration(500), settings_.cold_from = 0.3, settings_.ramp_time = Duration(8000);
+  settings_.drain_grace = Duration(500), settings_.cold_from = 0.3,
+  settings_.ramp_time = Duration(8000);
   settings_.tip_multiple = 3, settings_.fall_span = Duration(2000), settings_.worth_by_work = true;
   settings_.may_probe = options.probes;
   if (options.bare)
@@ -76,7 +84,8 @@
     by_id_[workers_.back().id] = workers_.size() - 1;
   }
   nodes_.resize(static_cast<std::size_t>(options.dispatchers));
-  for (int i = 0; i < options.dispatchers; ++i) start(i, true), arrive(i);
+  for (int i = 0; i < options.dispatchers; ++i)
+    start(i, true), arrive(i);
   look_who_knows();
 }
 
@@ -126,10 +135,13 @@
   return where;
 }
 
-std::size_t FleetWorld::index_of(std::string_view worker) const { return by_id_.find(worker)->second; }
+std::size_t FleetWorld::index_of(std::string_view worker) const {
+  return by_id_.find(worker)->second;
+}
 
 double FleetWorld::warmth(const Worker& w) const {
-  if (!w.started) return 1;
+  if (!w.started)
+    return 1;
   double t = std::clamp((now_ - *w.started) / settings_.ramp_time, 0.0, 1.0);
   return settings_.cold_from + (1 - settings_.cold_from) * t;
 }
@@ -145,7 +157,8 @@
 template <class Feed>
 void FleetWorld::feed(int node, Feed feed) {
   Node& n = nodes_[static_cast<std::size_t>(node)];
-  if (!n.module) return;
+  if (!n.module)
+    return;
   std::vector<Action> actions;
   feed(*n.module, actions);
   act(node, actions);
@@ -163,19 +176,22 @@
   std::vector<Action> actions;
   n.module.emplace(s, now_, actions);
   act(node, actions);
-  if (options_.news) n.loads.emplace(node, options_.dispatchers);
+  if (options_.news)
+    n.loads.emplace(node, options_.dispatchers);
   double jitter = first ? 0 : std::uniform_real_distribution<double>(0, 50)(random_);
   in(jitter, [this, node] { tell_list(node, ListKind::Persisted, 0); });
 }
 
 void FleetWorld::kill(int node, double back_after_s) {
   Node& n = nodes_[static_cast<std::size_t>(node)];
-  if (!n.module) return;
+  if (!n.module)
+    return;
   counts_.lost += std::ranges::count_if(n.jobs, [](const auto& j) { return !j.second.answered; });
   n.module.reset(), n.loads.reset(), n.tells_late = false;
   n.jobs.clear(), n.there.clear();
   ++n.life;
-  for (Worker& w : workers_) std::erase_if(w.queue, [&](const Run& r) { return r.dispatcher == node; });
+  for (Worker& w : workers_)
+    std::erase_if(w.queue, [&](const Run& r) { return r.dispatcher == node; });
   in(1000 * back_after_s, [this, node] { start(node, false); });
 }
 
@@ -184,16 +200,19 @@
   for (int i = 0; i < options_.workers; ++i)
     capacity += workers_[static_cast<std::size_t>(i)].speed * options_.slots;
   double shares = options_.dispatchers + 9.0 * options_.busy;
-  double rate = load_ * options_.load * capacity / (kWork / 1000) / shares * (node < options_.busy ? 10 : 1);
+  double rate =
+      load_ * options_.load * capacity / (kWork / 1000) / shares * (node < options_.busy ? 10 : 1);
   in(1000 * std::exponential_distribution<double>(rate)(random_), [this, node] {
     arrive(node);
     Node& n = nodes_[static_cast<std::size_t>(node)];
-    if (!n.module) return;  // its clients find another one, which this world leaves out
+    if (!n.module)
+      return;  // its clients find another one, which this world leaves out
     ++counts_.orders;
     double work = kWork * std::min(8.0, std::lognormal_distribution<double>(-0.32, 0.8)(random_));
     stagehinge::Request r;
     r.id = ++next_id_, r.patience = Duration(5000);
-    if (options_.keyed > 0) r.job_class = std::bernoulli_distribution(options_.keyed)(random_);
+    if (options_.keyed > 0)
+      r.job_class = std::bernoulli_distribution(options_.keyed)(random_);
     r.hint = Duration(work * std::lognormal_distribution<double>(0, 0.3)(random_));
     auto second = static_cast<std::size_t>(now_s());
     counts_.came.resize(std::max(counts_.came.size(), second + 1)),
@@ -208,42 +227,61 @@
 
 void FleetWorld::act(int node, std::vector<Action>& actions) {
   std::uint64_t life = nodes_[static_cast<std::size_t>(node)].life;
-  for (const Action& a : actions) switch (a.kind) {
-      case ActionKind::Send: send(node, a); break;
-      case ActionKind::Cancel: cancel(node, a); break;
-      case ActionKind::Reject: answer(node, a.id, counts_.refused); break;
-      case ActionKind::Fail: answer(node, a.id, counts_.failed); break;
-      case ActionKind::Probe: probe(node, index_of(a.worker)); break;
-      case ActionKind::Subscribe: call_discovery(node); break;
+  for (const Action& a : actions)
+    switch (a.kind) {
+      case ActionKind::Send:
+        send(node, a);
+        break;
+      case ActionKind::Cancel:
+        cancel(node, a);
+        break;
+      case ActionKind::Reject:
+        answer(node, a.id, counts_.refused);
+        break;
+      case ActionKind::Fail:
+        answer(node, a.id, counts_.failed);
+        break;
+      case ActionKind::Probe:
+        probe(node, index_of(a.worker));
+        break;
+      case ActionKind::Subscribe:
+        call_discovery(node);
+        break;
       case ActionKind::SetTimer:
         events_.push({std::max(a.at, now_), ++order_, [this, node, life] {
                         if (nodes_[static_cast<std::size_t>(node)].life == life)
                           feed(node, [&](auto& d, auto& out) { d.on_timer(now_, out); });
                       }});
         break;
-      case ActionKind::Log: break;
+      case ActionKind::Log:
+        break;
     }
 }
 
 void FleetWorld::answer(int node, stagehinge::RequestId id, long& count) {
   auto& jobs = nodes_[static_cast<std::size_t>(node)].jobs;
   auto it = jobs.find(id);
-  if (it == jobs.end() || std::exchange(it->second.answered, true)) return;
+  if (it == jobs.end() || std::exchange(it->second.answered, true))
+    return;
   ++count;
-  in(0, [this, node, id] { close(node, id); });  // the module's cancels of its attempts follow first
+  in(0,
+     [this, node, id] { close(node, id); });  // the module's cancels of its attempts follow first
 }
 
 // The client's time is over: what is out has timed out.
 void FleetWorld::time_up(int node, std::uint64_t life, stagehinge::RequestId id) {
   Node& n = nodes_[static_cast<std::size_t>(node)];
   auto it = n.jobs.find(id);
-  if (n.life != life || it == n.jobs.end()) return;
+  if (n.life != life || it == n.jobs.end())
+    return;
   for (std::size_t i = 0; i < it->second.attempts.size(); ++i)
     if (it->second.attempts[i].open) {
       end({node, life, id, static_cast<int>(i), 0, 0}, Outcome::TimedOut, std::nullopt);
-      if ((it = n.jobs.find(id)) == n.jobs.end()) return;
+      if ((it = n.jobs.find(id)) == n.jobs.end())
+        return;
     }
-  if (std::exchange(it->second.answered, true)) return close(node, id);
+  if (std::exchange(it->second.answered, true))
+    return close(node, id);
   ++counts_.failed;
   feed(node, [&](auto& d, auto& out) { d.on_client_gone(now_, id, out); });
   close(node, id);
@@ -252,7 +290,8 @@
 void FleetWorld::close(int node, stagehinge::RequestId id) {
   auto& jobs = nodes_[static_cast<std::size_t>(node)].jobs;
   auto it = jobs.find(id);
-  if (it != jobs.end() && it->second.answered && std::ranges::none_of(it->second.attempts, &Attempt::open))
+  if (it != jobs.end() && it->second.answered &&
+      std::ranges::none_of(it->second.attempts, &Attempt::open))
     jobs.erase(it);
 }
 
@@ -261,13 +300,16 @@
   auto it = n.jobs.find(a.id);
   std::size_t worker = index_of(a.worker);
   Run run{node, n.life, a.id, 0, 0, ++number_};
-  if (it == n.jobs.end()) return;
+  if (it == n.jobs.end())
+    return;
   Job& job = it->second;
   run.attempt = static_cast<int>(job.attempts.size());
   ++counts_.attempts;
-  if (std::ranges::any_of(job.attempts, &Attempt::open)) ++counts_.copies;
+  if (std::ranges::any_of(job.attempts, &Attempt::open))
+    ++counts_.copies;
   Worker& w = workers_[worker];
-  if (w.first_failure && (!w.up || w.fails > 0)) ++counts_.after_first;
+  if (w.first_failure && (!w.up || w.fails > 0))
+    ++counts_.after_first;
   job.attempts.push_back({worker, run.number, true});
   run.work = (job.wanted - 300) / 3.5;
   count_there(node, worker, 1);
@@ -277,9 +319,11 @@
 void FleetWorld::cancel(int node, const Action& a) {
   auto& jobs = nodes_[static_cast<std::size_t>(node)].jobs;
   auto it = jobs.find(a.id);
-  if (it == jobs.end() || a.attempt >= std::ssize(it->second.attempts)) return;
+  if (it == jobs.end() || a.attempt >= std::ssize(it->second.attempts))
+    return;
   Attempt& attempt = it->second.attempts[static_cast<std::size_t>(a.attempt)];
-  if (!attempt.open) return;
+  if (!attempt.open)
+    return;
   Run run{node, nodes_[static_cast<std::size_t>(node)].life, a.id, a.attempt, 0, attempt.number};
   in(kWay, [this, worker = attempt.worker, run] {
     Worker& w = workers_[worker];
@@ -292,21 +336,28 @@
 
 // With a report of `worker`, where it is the one that tells.
 void FleetWorld::end(Run run, Outcome outcome, std::optional<std::size_t> from) {
-  if (!lives(run)) return;
+  if (!lives(run))
+    return;
   Node& n = nodes_[static_cast<std::size_t>(run.dispatcher)];
   auto it = n.jobs.find(run.id);
-  if (it == n.jobs.end()) return;
+  if (it == n.jobs.end())
+    return;
   Attempt& attempt = it->second.attempts[static_cast<std::size_t>(run.attempt)];
-  if (!std::exchange(attempt.open, false)) return;
+  if (!std::exchange(attempt.open, false))
+    return;
   std::size_t worker = attempt.worker;
   Worker& w = workers_[worker];
   count_there(run.dispatcher, worker, -1);
-  bool bad = outcome == Outcome::Unreachable || outcome == Outcome::Failure || outcome == Outcome::Broken;
-  if (bad && (!w.up || w.fails > 0) && !w.first_failure) w.first_failure = now_;
+  bool bad =
+      outcome == Outcome::Unreachable || outcome == Outcome::Failure || outcome == Outcome::Broken;
+  if (bad && (!w.up || w.fails > 0) && !w.first_failure)
+    w.first_failure = now_;
   if (outcome == Outcome::Success && !std::exchange(it->second.answered, true)) {
     ++counts_.served;
-    if (ms(now_ - it->second.came) > it->second.wanted) ++counts_.late;
-    else ++counts_.in_time[static_cast<std::size_t>((it->second.came - Time()) / Duration(1000))];
+    if (ms(now_ - it->second.came) > it->second.wanted)
+      ++counts_.late;
+    else
+      ++counts_.in_time[static_cast<std::size_t>((it->second.came - Time()) / Duration(1000))];
   }
   bool final = it->second.answered;
   LoadReport load = from ? report(w) : LoadReport();
@@ -320,8 +371,10 @@
 
 void FleetWorld::reach(std::size_t worker, Run run) {
   Worker& w = workers_[worker];
-  if (!w.up) return in(kConnect, [this, run] { end(run, Outcome::Unreachable, std::nullopt); });
-  if (w.fallen) return in(kWay, [this, run] { end(run, Outcome::Unreachable, std::nullopt); });
+  if (!w.up)
+    return in(kConnect, [this, run] { end(run, Outcome::Unreachable, std::nullopt); });
+  if (w.fallen)
+    return in(kWay, [this, run] { end(run, Outcome::Unreachable, std::nullopt); });
   if (w.fails > 0 && std::bernoulli_distribution(w.fails)(random_)) {
     w.errors = w.errors * std::exp(-((now_ - w.error_at) / Duration(1000))) + 1, w.error_at = now_;
     return in(kWay, [this, run, worker] { end(run, Outcome::Failure, worker); });
@@ -330,12 +383,16 @@
     return in(kWay, [this, run, worker] { end(run, Outcome::Overloaded, worker); });
   if (warmth(w) < 1) {
     w.sent.emplace_back(now_, run.work);
-    while (w.sent.front().first + settings_.fall_span < now_) w.sent.pop_front();
+    while (w.sent.front().first + settings_.fall_span < now_)
+      w.sent.pop_front();
     double all = 0;
-    for (const auto& [at, work] : w.sent) all += work;
-    double bears = settings_.tip_multiple * ms(settings_.fall_span) * options_.slots * w.speed * warmth(w);
+    for (const auto& [at, work] : w.sent)
+      all += work;
+    double bears =
+        settings_.tip_multiple * ms(settings_.fall_span) * options_.slots * w.speed * warmth(w);
     counts_.cold_most = std::max(counts_.cold_most, all / bears);
-    if (all > bears) w.fallen = true, ++counts_.fallen;
+    if (all > bears)
+      w.fallen = true, ++counts_.fallen;
   }
   w.queue.push_back(run);
   begin_next(worker);
@@ -343,22 +400,27 @@
 
 void FleetWorld::begin_next(std::size_t worker) {
   Worker& w = workers_[worker];
-  while (w.up && !w.silent && !w.fallen && !w.queue.empty() && std::ssize(w.running) < options_.slots) {
+  while (w.up && !w.silent && !w.fallen && !w.queue.empty() &&
+         std::ssize(w.running) < options_.slots) {
     Run run = w.queue.front();
     w.queue.pop_front();
     w.running.push_back(run);
     double takes = run.work / (w.speed * warmth(w));
-    if (warmth(w) < 1) counts_.cold_used += run.work;
+    if (warmth(w) < 1)
+      counts_.cold_used += run.work;
     in(kWay, [this, run, worker] {
       if (lives(run) && settings_.tells_start)
         feed(run.dispatcher, [&](auto& d, auto& out) {
-          d.on_note(now_, run.id, run.attempt, workers_[worker].id, stagehinge::NoteKind::Started, out);
+          d.on_note(now_, run.id, run.attempt, workers_[worker].id, stagehinge::NoteKind::Started,
+                    out);
         });
     });
     in(takes, [this, worker, run] {
       Worker& then = workers_[worker];
-      if (then.silent) return then.done.push_back(run);  // says so when it speaks again
-      if (!then.up || std::erase(then.running, run) == 0) return;
+      if (then.silent)
+        return then.done.push_back(run);  // says so when it speaks again
+      if (!then.up || std::erase(then.running, run) == 0)
+        return;
       in(kWay, [this, run, worker] { end(run, Outcome::Success, worker); });
       begin_next(worker);
     });
@@ -370,9 +432,11 @@
   std::uint64_t life = nodes_[static_cast<std::size_t>(node)].life;
   bool answers = workers_[worker].up && !workers_[worker].fallen && !workers_[worker].silent;
   in(answers ? 2 * kWay : 500, [this, node, life, worker, answers] {
-    if (nodes_[static_cast<std::size_t>(node)].life != life) return;
+    if (nodes_[static_cast<std::size_t>(node)].life != life)
+      return;
     Worker& w = workers_[worker];
-    if (!answers && !w.first_failure) w.first_failure = now_;
+    if (!answers && !w.first_failure)
+      w.first_failure = now_;
     feed(node, [&](auto& d, auto& out) {
       d.on_probe_result(now_, w.id, answers ? Outcome::Success : Outcome::TimedOut,
                         answers ? report(w) : LoadReport(), out);
@@ -397,7 +461,8 @@
   auto old = static_cast<std::size_t>(worker);
   Worker next;
   next.id = workers_[old].id + "'", next.speed = workers_[old].speed, next.started = now_;
-  for (const Run& r : workers_[old].running) in(kWay, [this, r] { end(r, Outcome::Broken, std::nullopt); });
+  for (const Run& r : workers_[old].running)
+    in(kWay, [this, r] { end(r, Outcome::Broken, std::nullopt); });
   vanish(worker);
   workers_[old].listed = false;
   changed(old);
@@ -411,12 +476,14 @@
   w.silent = silent;
   for (Run run : std::exchange(w.done, {}))
     if (std::erase(w.running, run))
-      in(kWay, [this, run, worker] { end(run, Outcome::Success, static_cast<std::size_t>(worker)); });
+      in(kWay,
+         [this, run, worker] { end(run, Outcome::Success, static_cast<std::size_t>(worker)); });
   begin_next(static_cast<std::size_t>(worker));
 }
 
 void FleetWorld::cut(int first, int last, bool cut) {
-  for (int i = first; i <= last; ++i) nodes_[static_cast<std::size_t>(i)].apart = cut;
+  for (int i = first; i <= last; ++i)
+    nodes_[static_cast<std::size_t>(i)].apart = cut;
 }
 
 void FleetWorld::make_bad(int worker, double fails, double speed) {
@@ -455,7 +522,8 @@
   counts_.lines += lines;
   in(ms(discovery_free_ - now_), [this, node, life] {
     Node& n = nodes_[static_cast<std::size_t>(node)];
-    if (n.life != life) return;
+    if (n.life != life)
+      return;
     n.watching = true;
     tell_list(node, ListKind::Partial, n.revision);
   });
@@ -463,24 +531,30 @@
 
 void FleetWorld::tell_list(int node, ListKind kind, int after) {
   Node& n = nodes_[static_cast<std::size_t>(node)];
-  if (!n.module) return;
+  if (!n.module)
+    return;
   std::vector<stagehinge::WorkerEntry> entries;
   auto add = [&](std::size_t i, bool now) {
     const Worker& w = workers_[i];
     stagehinge::WorkerEntry e;
     e.worker = w.id, e.size = options_.slots;
     e.readiness = now && !w.listed ? stagehinge::Readiness::Gone : stagehinge::Readiness::Ready;
-    if (now && w.started) e.online_since = w.started;
+    if (now && w.started)
+      e.online_since = w.started;
     entries.push_back(e);
   };
   if (kind == ListKind::Persisted)
-    for (int i = 0; i < options_.workers; ++i) add(static_cast<std::size_t>(i), false);
+    for (int i = 0; i < options_.workers; ++i)
+      add(static_cast<std::size_t>(i), false);
   else
     for (const auto& [revision, worker] : changes_)
-      if (revision > after) add(worker, true);
-  if (kind != ListKind::Persisted) n.revision = revision_;
+      if (revision > after)
+        add(worker, true);
+  if (kind != ListKind::Persisted)
+    n.revision = revision_;
   feed(node, [&](auto& d, auto& out) { d.on_list(now_, kind, entries, out); });
-  if (!n.loads) return;
+  if (!n.loads)
+    return;
   std::vector<std::string> names;
   for (std::size_t i = 0; i < workers_.size(); ++i)
     if (i < static_cast<std::size_t>(options_.workers) || kind != ListKind::Persisted)
@@ -495,14 +569,16 @@
 void FleetWorld::count_there(int node, std::size_t worker, int more) {
   Node& n = nodes_[static_cast<std::size_t>(node)];
   int jobs = n.there[worker] += more;
-  if (!n.loads) return;
+  if (!n.loads)
+    return;
   n.loads->have(now_, workers_[worker].id, jobs);
   tell(node);
 }
 
 void FleetWorld::tell(int node) {
   Node& n = nodes_[static_cast<std::size_t>(node)];
-  if (!n.loads) return;
+  if (!n.loads)
+    return;
   for (const fleet::Loads::Message& m : n.loads->due(now_)) {
     if (n.apart || nodes_[static_cast<std::size_t>(m.to)].apart ||
         std::bernoulli_distribution(options_.lossy)(random_))
@@ -510,17 +586,20 @@
     ++counts_.messages, counts_.bytes += static_cast<long>(m.bytes.size());
     in(2 * kWay, [this, node, m] {
       Node& heard = nodes_[static_cast<std::size_t>(m.to)];
-      if (!heard.loads) return;
-      heard.loads->take(now_, static_cast<std::size_t>(node), m.bytes,
-                        [&](const std::string& worker, int jobs) {
-                          feed(m.to, [&](auto& d, auto& out) { d.on_peers(now_, worker, jobs, out); });
-                        });
+      if (!heard.loads)
+        return;
+      heard.loads->take(
+          now_, static_cast<std::size_t>(node), m.bytes, [&](const std::string& worker, int jobs) {
+            feed(m.to, [&](auto& d, auto& out) { d.on_peers(now_, worker, jobs, out); });
+          });
     });
   }
-  if (!n.loads->waits() || std::exchange(n.tells_late, true)) return;
+  if (!n.loads->waits() || std::exchange(n.tells_late, true))
+    return;
   in(fleet::kLeft.count(), [this, node, life = n.life] {
     Node& later = nodes_[static_cast<std::size_t>(node)];
-    if (later.life != life) return;
+    if (later.life != life)
+      return;
     later.tells_late = false;
     tell(node);
   });
@@ -528,11 +607,14 @@
 
 void FleetWorld::look_who_knows() {
   for (Worker& w : workers_) {
-    if (!w.vanished || !w.listed || !w.first_failure) continue;
+    if (!w.vanished || !w.listed || !w.first_failure)
+      continue;
     for (int i = 0; i < options_.dispatchers; ++i) {
       const Node& n = nodes_[static_cast<std::size_t>(i)];
-      if (!n.module || w.known_bad.contains(i) || !n.module->avoids(w.id)) continue;
-      if (!w.known_bad.empty()) counts_.learned.push_back(ms(now_ - *w.first_failure));
+      if (!n.module || w.known_bad.contains(i) || !n.module->avoids(w.id))
+        continue;
+      if (!w.known_bad.empty())
+        counts_.learned.push_back(ms(now_ - *w.first_failure));
       w.known_bad.insert(i);
     }
   }
--- a/lab/fleet_world.h
+++ b/lab/fleet_world.h
@@ -1,11 +1,11 @@
-// Many dispatchers and their workers in one process, in virtual time, on the decision module's public
-// interface and the real messages between dispatchers. A test bed for counts over a whole fleet: what it
-// costs its workers, discovery and network together, and how soon all know what one has learned. It knows no
-// site's figures and gives no score.
+// Many dispatchers and their workers in one process, in virtual time, on the decision module's
+// public interface and the real messages between dispatchers. A test bed for counts over a whole
+// fleet: what it costs its workers, discovery and network together, and how soon all know what one
+// has learned. It knows no site's figures and gives no score.
 //
-// Workers have slots, a bounded queue, a speed, and a cold ramp; they can vanish, fail, crawl and come back.
-// Discovery works through calls one after another and tells of changes late. Messages can be lost. The same
-// seed gives the same counts.
+// Workers have slots, a bounded queue, a speed, and a cold ramp; they can vanish, fail, crawl and
+// come back. Discovery works through calls one after another and tells of changes late. Messages
+// can be lost. The same seed gives the same counts.
 #pragma once
 
 #include <stagehinge/dispatcher.h>
@@ -29,19 +29,22 @@
 using stagehinge::Time;
 
 struct FleetCounts {
-  long orders = 0, served = 0, refused = 0, failed = 0, lost = 0;  // lost: with a dispatcher that was killed
-  long late = 0;                                                   // of the served, after what was wanted
+  long orders = 0, served = 0, refused = 0, failed = 0,
+       lost = 0;  // lost: with a dispatcher that was killed
+  long late = 0;  // of the served, after what was wanted
   long attempts = 0, copies = 0, probes = 0;
   long calls = 0, failed_calls = 0, lines = 0;  // of discovery; lines of lists that it gave
   std::vector<long> calls_by_second, failed_by_second;
   long messages = 0, bytes = 0;  // delivered
   long fallen = 0;               // cold workers pushed over
-  double cold_most = 0;          // of what a fall span of a cold worker bears, the largest part that was sent
-  double cold_used = 0;          // work done by workers while cold, ms
-  long after_first = 0;          // attempts at a bad worker after somebody first saw it fail
-  std::vector<long> came, in_time;  // orders by the second in which they came, and those served as wanted
-  // From `end` on, seconds until a second's share in time is `part` of what it was before `start`, and stays
-  // so for three; -1: it never is.
+  double cold_most =
+      0;  // of what a fall span of a cold worker bears, the largest part that was sent
+  double cold_used = 0;  // work done by workers while cold, ms
+  long after_first = 0;  // attempts at a bad worker after somebody first saw it fail
+  std::vector<long> came,
+      in_time;  // orders by the second in which they came, and those served as wanted
+  // From `end` on, seconds until a second's share in time is `part` of what it was before `start`,
+  // and stays so for three; -1: it never is.
   double settles(double start, double end, double part = 0.95) const;
   double share(double from, double to) const;  // in time, of what came in these seconds
   std::vector<double>
@@ -54,12 +57,13 @@
   struct Options {
     int dispatchers = 100, workers = 60, slots = 3;
     std::uint64_t seed = 1;
-    double load = 0.6;          // of the capacity
-    int busy = 0;               // so many dispatchers carry ten times the traffic of the rest
-    bool news = true;           // dispatchers tell each other what they have where
-    double lossy = 0;           // part of all messages that are lost
-    double keyed = 0;           // part of the orders that may be repeated within a window
-    bool bare = false;          // no start notes, cancels, copies or news: reports at the ends are nearly all
+    double load = 0.6;  // of the capacity
+    int busy = 0;       // so many dispatchers carry ten times the traffic of the rest
+    bool news = true;   // dispatchers tell each other what they have where
+    double lossy = 0;   // part of all messages that are lost
+    double keyed = 0;   // part of the orders that may be repeated within a window
+    bool bare =
+        false;  // no start notes, cancels, copies or news: reports at the ends are nearly all
     bool probes = true;         // the settings allow them
     bool thinks_alone = false;  // a bad variant: each dispatcher is told that there is no other
   };
@@ -71,18 +75,19 @@
 
   // Troubles.
   void kill(int dispatcher, double back_after_s);  // it starts again from the list of the beginning
-  void vanish(int worker);                         // says nothing from now on; discovery hears of it late
-  void come_back(int worker);                      // cold
-  void replace(int worker);                        // by one with a new id, cold; discovery tells of both
+  void vanish(int worker);     // says nothing from now on; discovery hears of it late
+  void come_back(int worker);  // cold
+  void replace(int worker);    // by one with a new id, cold; discovery tells of both
   void make_bad(int worker, double fails, double speed);
   void load(double factor) { load_ = factor; }  // times Options::load from the next arrivals on
-  void silent(int worker, bool silent);     // takes what comes and says nothing; goes on with it afterwards
+  void silent(int worker,
+              bool silent);  // takes what comes and says nothing; goes on with it afterwards
   void cut(int first, int last, bool cut);  // these dispatchers hear no others
 
   const FleetCounts& counts() const { return counts_; }
   std::size_t open() const;
-  struct Where {  // orders now: held by dispatchers, waiting at workers, of these too late to be in time,
-                  // running
+  struct Where {  // orders now: held by dispatchers, waiting at workers, of these too late to be in
+                  // time, running
     std::size_t held = 0, queued = 0, queued_late = 0, running = 0, running_late = 0;
   };
   Where where() const;
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -26,7 +26,8 @@
   return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
 
-[[noreturn]] void bad(const std::string& path, const TextFormat::ParseLocation& at, const std::string& what) {
+[[noreturn]] void bad(const std::string& path, const TextFormat::ParseLocation& at,
+                      const std::string& what) {
   oatledge::settings::Faults faults(path);
   faults.AddError(at.line, at.column, what);
   throw std::invalid_argument(faults.text());
@@ -35,7 +36,8 @@
 std::vector<int> members(const Members& m) {
   std::vector<int> out(m.member().begin(), m.member().end());
   if (m.has_first())
-    for (std::uint32_t i = m.first(); i <= m.last(); ++i) out.push_back(static_cast<int>(i));
+    for (std::uint32_t i = m.first(); i <= m.last(); ++i)
+      out.push_back(static_cast<int>(i));
   return out;
 }
 
@@ -43,15 +45,18 @@
 Scenario read(const std::string& path, std::uint32_t dispatchers) {
   std::ifstream in(path, std::ios::binary);
   std::string text{std::istreambuf_iterator<char>(in), {}};
-  if (!in) throw std::invalid_argument(path + ":1:1: cannot be read");
+  if (!in)
+    throw std::invalid_argument(path + ":1:1: cannot be read");
   oatledge::settings::Faults faults(path);
   TextFormat::ParseInfoTree where;
   TextFormat::Parser parser;
   parser.RecordErrorsTo(&faults);
   parser.WriteLocationsTo(&where);
   Scenario s;
-  if (!parser.ParseFromString(text, &s)) throw std::invalid_argument(faults.text());
-  if (dispatchers) s.set_dispatchers(dispatchers);
+  if (!parser.ParseFromString(text, &s))
+    throw std::invalid_argument(faults.text());
+  if (dispatchers)
+    s.set_dispatchers(dispatchers);
   if (s.dispatchers() < 2 || s.dispatchers() > 300)
     throw std::invalid_argument(path + ":1:1: dispatchers must be from 2 to 300");
   if (s.workers() < 1 || s.workers() > 50)
@@ -73,14 +78,18 @@
       if (w < 0 || w >= static_cast<int>(s.workers()))
         bad(path, at, "there is no order worker " + std::to_string(w));
     const Path& p = step.path();
-    if (p.from() >= s.dispatchers() || p.to() >= s.dispatchers()) bad(path, at, "there is no such member");
+    if (p.from() >= s.dispatchers() || p.to() >= s.dispatchers())
+      bad(path, at, "there is no such member");
     for (double share : {p.loss(), p.twice(), p.spoilt()})
-      if (!(share >= 0 && share <= 1)) bad(path, at, "a share must be from 0 to 1");
+      if (!(share >= 0 && share <= 1))
+        bad(path, at, "a share must be from 0 to 1");
     for (double ms : {p.delay_ms(), p.jitter_ms(), static_cast<double>(step.pass_ms())})
-      if (!(ms >= 0 && ms <= 600'000)) bad(path, at, "a time must be from 0 to 600000 ms");
+      if (!(ms >= 0 && ms <= 600'000))
+        bad(path, at, "a time must be from 0 to 600000 ms");
     if (step.has_rate() && !(step.rate() > 0 && step.rate() <= 10'000 && s.rate() > 0))
       bad(path, at, "a rate must be from 0 to 10000, in a scenario that has one");
-    if (step.what_case() == Step::WHAT_NOT_SET) bad(path, at, "a step that does nothing");
+    if (step.what_case() == Step::WHAT_NOT_SET)
+      bad(path, at, "a step that does nothing");
   }
   return s;
 }
@@ -97,30 +106,34 @@
     bool ordered = false;
     for (const Step& step : scenario_.step()) {
       take(step);
-      if (!std::exchange(ordered, true)) fleet_.orders_begin(steady());
+      if (!std::exchange(ordered, true))
+        fleet_.orders_begin(steady());
     }
     ProcessFleet::Account a = fleet_.account();
     // Where order workers or the list fail, an order may; but it is told.
-    bool rules = (ailed_ ? a.answered : a.served) == a.given && a.begun_twice == 0 && a.to_drained == 0 &&
-                 a.longest <= 256;
+    bool rules = (ailed_ ? a.answered : a.served) == a.given && a.begun_twice == 0 &&
+                 a.to_drained == 0 && a.longest <= 256;
     bool in_time = double(a.in_time) >= scenario_.useful() * double(a.begun);
     bool kept = rules && in_time;
     if (scenario_.slots() > 0)
       std::printf(
-          "orders begun for each that was handed in: %.2f; in time %.2f; turned away by workers %ld; longest "
+          "orders begun for each that was handed in: %.2f; in time %.2f; turned away by workers "
+          "%ld; longest "
           "line at one %d\n",
           double(a.begun) / double(a.given), double(a.in_time) / double(a.given),
           fleet_.workers().turned_away(), fleet_.workers().longest_line());
     std::printf(
-        "verdict: %s; %llu orders, %llu answered, %llu well, %llu begun twice, %llu to drained workers, "
+        "verdict: %s; %llu orders, %llu answered, %llu well, %llu begun twice, %llu to drained "
+        "workers, "
         "longest datagram %ld bytes, %ld calls for lists\n",
         kept ? "kept" : "BROKEN", static_cast<unsigned long long>(a.given),
         static_cast<unsigned long long>(a.answered), static_cast<unsigned long long>(a.served),
-        static_cast<unsigned long long>(a.begun_twice), static_cast<unsigned long long>(a.to_drained),
-        a.longest, fleet_.workers().list_calls());
+        static_cast<unsigned long long>(a.begun_twice),
+        static_cast<unsigned long long>(a.to_drained), a.longest, fleet_.workers().list_calls());
     double starved = stolen_part(from, core_ticks()) + in_line();
     std::printf("waited for a core: %.3f of the time\n", starved);
-    if (!report.empty()) write(report, a, kept);
+    if (!report.empty())
+      write(report, a, kept);
     return {rules, in_time, starved};
   }
 
@@ -133,7 +146,8 @@
   // The mean of the members that are up, over the life of the run.
   double in_line() {
     double waited = 0;
-    for (int i : fleet_.up()) waited += fleet_.member(i).waited_ms();
+    for (int i : fleet_.up())
+      waited += fleet_.member(i).waited_ms();
     double lived = 1000 * (now_s() - begun_) * double(fleet_.up().size());
     return lived > 0 ? waited / lived : 0;
   }
@@ -141,50 +155,67 @@
   // Members that no step touches: orders go there, and each has to be answered.
   std::vector<int> steady() const {
     std::set<int> left;
-    for (std::uint32_t i = 0; i < scenario_.dispatchers(); ++i) left.insert(static_cast<int>(i));
+    for (std::uint32_t i = 0; i < scenario_.dispatchers(); ++i)
+      left.insert(static_cast<int>(i));
     for (const Step& s : scenario_.step())
       for (const Members* m : {&s.crash(), &s.stop(), &s.end()})
-        for (int i : members(*m)) left.erase(i);
-    if (left.empty()) left.insert(0);
+        for (int i : members(*m))
+          left.erase(i);
+    if (left.empty())
+      left.insert(0);
     return {left.begin(), left.end()};
   }
 
   void take(const Step& step) {
     auto each = [&](const Members& m, const char* what, auto act) {
-      for (int i : members(m)) act(i);
+      for (int i : members(m))
+        act(i);
       say(std::to_string(members(m).size()) + " " + what);
     };
     switch (step.what_case()) {
-      case Step::kStart: return each(step.start(), "started", [&](int i) { fleet_.start(i); });
-      case Step::kCrash: return each(step.crash(), "crashed", [&](int i) { fleet_.crash(i); });
-      case Step::kStop: return each(step.stop(), "stopped", [&](int i) { fleet_.stop(i); });
-      case Step::kWake: return each(step.wake(), "woken", [&](int i) { fleet_.wake(i); });
-      case Step::kEnd: return each(step.end(), "ended", [&](int i) { fleet_.leave(i); });
+      case Step::kStart:
+        return each(step.start(), "started", [&](int i) { fleet_.start(i); });
+      case Step::kCrash:
+        return each(step.crash(), "crashed", [&](int i) { fleet_.crash(i); });
+      case Step::kStop:
+        return each(step.stop(), "stopped", [&](int i) { fleet_.stop(i); });
+      case Step::kWake:
+        return each(step.wake(), "woken", [&](int i) { fleet_.wake(i); });
+      case Step::kEnd:
+        return each(step.end(), "ended", [&](int i) { fleet_.leave(i); });
       case Step::kSplit:
         groups_.clear();
-        for (const Members& g : step.split().group()) groups_.push_back(members(g));
+        for (const Members& g : step.split().group())
+          groups_.push_back(members(g));
         fleet_.relays().split(groups_);
         return say("split into " + std::to_string(groups_.size()));
-      case Step::kPath: return path(step.path());
+      case Step::kPath:
+        return path(step.path());
       case Step::kHeal:
         groups_.clear();
         fleet_.relays().set_all({});
         return say("all paths are whole");
-      case Step::kPassMs: std::this_thread::sleep_for(std::chrono::milliseconds(step.pass_ms())); return;
-      case Step::kSettle: return settle();
+      case Step::kPassMs:
+        std::this_thread::sleep_for(std::chrono::milliseconds(step.pass_ms()));
+        return;
+      case Step::kSettle:
+        return settle();
       case Step::kListService: {
         ailed_ = true;
         fleet_.workers().ail({static_cast<ListFault::Kind>(step.list_service().fault()),
                               static_cast<int>(step.list_service().amount())});
         return say("the list service: " + ListService::Fault_Name(step.list_service().fault()));
       }
-      case Step::kWorkers: return workers(step.workers());
+      case Step::kWorkers:
+        return workers(step.workers());
       case Step::kRate:
         ailed_ = true;  // who is asked for too much may refuse
         fleet_.rate(step.rate());
         return say("orders: " + std::to_string(static_cast<int>(step.rate())) + " a second");
-      case Step::kRecover: return recover();
-      case Step::WHAT_NOT_SET: return;
+      case Step::kRecover:
+        return recover();
+      case Step::WHAT_NOT_SET:
+        return;
     }
   }
 
@@ -201,11 +232,15 @@
 
   void workers(const Workers& w) {
     for (int i : members(w.who())) {
-      if (w.fault() == Workers::DRAIN) fleet_.drain(i);
-      else if (w.fault() == Workers::UP) fleet_.raise(i);
-      else ailed_ = true, fleet_.workers().ail(i, static_cast<WorkerFault>(w.fault()));
+      if (w.fault() == Workers::DRAIN)
+        fleet_.drain(i);
+      else if (w.fault() == Workers::UP)
+        fleet_.raise(i);
+      else
+        ailed_ = true, fleet_.workers().ail(i, static_cast<WorkerFault>(w.fault()));
     }
-    say(std::to_string(members(w.who()).size()) + " order workers: " + Workers::Fault_Name(w.fault()));
+    say(std::to_string(members(w.who()).size()) +
+        " order workers: " + Workers::Fault_Name(w.fault()));
   }
 
   void path(const Path& p) {
@@ -227,11 +262,15 @@
     for (const auto& group : groups_) {
       std::set<int> up;
       for (int i : group)
-        if (fleet_.up().contains(i)) up.insert(i);
-      if (!up.empty()) parts.push_back(std::move(up));
+        if (fleet_.up().contains(i))
+          up.insert(i);
+      if (!up.empty())
+        parts.push_back(std::move(up));
     }
-    if (parts.empty()) parts.push_back(fleet_.up());
-    for (const auto& part : parts) ProcessFleet::wait([&] { return fleet_.agree(part); });
+    if (parts.empty())
+      parts.push_back(fleet_.up());
+    for (const auto& part : parts)
+      ProcessFleet::wait([&] { return fleet_.agree(part); });
     double took = now_s() - from;
     settled_.append(took);
     char text[80];
@@ -276,25 +315,30 @@
   bool ailed_ = false;
 };
 
-// Prints what the logs of a run say of one order (its id, 16 hexadecimal digits) or one member (its address),
-// in the order of time; the number of lines.
+// Prints what the logs of a run say of one order (its id, 16 hexadecimal digits) or one member (its
+// address), in the order of time; the number of lines.
 long follow(const std::string& folder, const std::string& id) {
   std::multimap<std::string, std::string> lines;
   for (const auto& file : std::filesystem::directory_iterator(folder)) {
-    if (file.path().extension() != ".log") continue;
+    if (file.path().extension() != ".log")
+      continue;
     std::ifstream in(file.path());
     for (std::string text; std::getline(in, text);) {
       Json::Value line;
       std::istringstream one(text);
       std::string errors;
-      if (!Json::parseFromStream(Json::CharReaderBuilder(), one, &line, &errors) || !line.isObject())
+      if (!Json::parseFromStream(Json::CharReaderBuilder(), one, &line, &errors) ||
+          !line.isObject())
         continue;  // of another kind
-      if (std::ranges::none_of(line["ids"], [&](const Json::Value& has) { return has == id; })) continue;
-      lines.emplace(line["time"].asString(), file.path().stem().string() + "  " + line["kind"].asString() +
-                                                 ": " + line["text"].asString());
+      if (std::ranges::none_of(line["ids"], [&](const Json::Value& has) { return has == id; }))
+        continue;
+      lines.emplace(line["time"].asString(), file.path().stem().string() + "  " +
+                                                 line["kind"].asString() + ": " +
+                                                 line["text"].asString());
     }
   }
-  for (const auto& [time, text] : lines) std::printf("%s  %s\n", time.c_str(), text.c_str());
+  for (const auto& [time, text] : lines)
+    std::printf("%s  %s\n", time.c_str(), text.c_str());
   return static_cast<long>(lines.size());
 }
 
@@ -304,9 +348,11 @@
   CLI::App line{"Plays scenarios on processes of oatledge, on the loopback."};
   line.require_subcommand(1);
   std::string folder, id;
-  CLI::App* following =
-      line.add_subcommand("follow", "what a run's logs say of one order or member; exit 1: nothing");
-  following->add_option("run", folder, "the folder of --report")->required()->check(CLI::ExistingDirectory);
+  CLI::App* following = line.add_subcommand(
+      "follow", "what a run's logs say of one order or member; exit 1: nothing");
+  following->add_option("run", folder, "the folder of --report")
+      ->required()
+      ->check(CLI::ExistingDirectory);
   following->add_option("id", id, "of an order, 16 hexadecimal digits, or a member's ADDRESS:PORT")
       ->required();
   CLI::App* run = line.add_subcommand("run", "play one; exit 0 where it was kept, 1 where not");
@@ -321,10 +367,12 @@
   run->add_option("--program", setup.program, "build/oatledge");
   run->add_option("--config", setup.config, "examples/config.json");
   CLI11_PARSE(line, argc, argv);
-  if (following->parsed()) return follow(folder, id) > 0 ? 0 : 1;
+  if (following->parsed())
+    return follow(folder, id) > 0 ? 0 : 1;
   Scenario scenario = read(path, dispatchers);
   setup.trace = !report.empty(), setup.rate = scenario.rate();
-  setup.slots = static_cast<int>(scenario.slots()), setup.places = static_cast<int>(scenario.places());
+  setup.slots = static_cast<int>(scenario.slots()),
+  setup.places = static_cast<int>(scenario.places());
   setup.work_ms = static_cast<int>(scenario.work_ms());
   setup.wanted_ms = static_cast<int>(scenario.wanted_ms());
   setup.members = static_cast<int>(scenario.dispatchers()),
@@ -333,7 +381,8 @@
   setup.answer_ms = static_cast<int>(scenario.answer_ms());
   for (int plays = 1;; ++plays) {
     Judgement j = judge(Run(scenario, setup).play(report), plays);
-    if (j != Judgement::PlayAgain) return j == Judgement::Kept ? 0 : 1;
+    if (j != Judgement::PlayAgain)
+      return j == Judgement::Kept ? 0 : 1;
     std::printf("that says nothing of the program: played again\n");
   }
 } catch (const std::invalid_argument& e) {  // lines of their own, as editors read them
--- a/lab/process_fleet.h
+++ b/lab/process_fleet.h
@@ -1,5 +1,5 @@
-// A fleet of the program's own processes, with a relay on every path between them and orders that run
-// throughout. It ends its own children whatever happens to it.
+// A fleet of the program's own processes, with a relay on every path between them and orders that
+// run throughout. It ends its own children whatever happens to it.
 #pragma once
 
 #include <json/value.h>
@@ -26,14 +26,14 @@
     int members = 8, workers = 3;
     int period_ms = 200, answer_ms = 60;  // of the fleet's view
     std::uint64_t seed = 1;               // of what the relays draw
-    std::string keys{};                   // text of the key file that each has of its own; empty: none
-    int seeds = 0;                        // each knows so many of the first members; 0: all as peers
+    std::string keys{};  // text of the key file that each has of its own; empty: none
+    int seeds = 0;       // each knows so many of the first members; 0: all as peers
     int forget_s = 3600;
     bool trace = false;
     int slots = 0, places = 0;       // of each worker; 0: any number of orders at a time
     int work_ms = 5, wanted_ms = 0;  // of each order; wanted_ms: after this it is late
-    double rate =
-        0;  // orders a second, whether the ones before have been answered or not; 0: one after another
+    double rate = 0;  // orders a second, whether the ones before have been answered or not; 0: one
+                      // after another
   };
   explicit ProcessFleet(Setup setup);
   ~ProcessFleet();
@@ -59,8 +59,8 @@
     wait([this] { return agree(up_); });
   }
 
-  // Of the order workers. Returns when the list has told it to all that are up: no order that is handed in
-  // from then on may go there.
+  // Of the order workers. Returns when the list has told it to all that are up: no order that is
+  // handed in from then on may go there.
   void drain(int worker);
   void raise(int worker);  // back in the list
   Fleet& workers() { return workers_; }
@@ -69,7 +69,8 @@
   void orders_begin(const std::vector<int>& at);
   void orders_end();
   void rate(double a_second) { rate_ = a_second; }
-  // Of the orders handed in from here on, 95 of a hundred in a row were answered well and as soon as wanted.
+  // Of the orders handed in from here on, 95 of a hundred in a row were answered well and as soon
+  // as wanted.
   std::uint64_t given() const { return given_; }
   bool in_time(std::uint64_t since);
   struct Account {  // by what the stand-ins saw
@@ -91,9 +92,10 @@
   std::atomic<bool> over_{false};
   std::atomic<std::uint64_t> given_{0}, answered_{0}, served_{0};
   std::atomic<double> rate_{0};
-  std::mutex mutex_;                              // of what follows
-  std::map<std::uint64_t, bool> good_;            // by order that has been answered: in time
-  std::map<std::string, std::uint64_t> drained_;  // by worker: the last order that may have gone there
+  std::mutex mutex_;                    // of what follows
+  std::map<std::uint64_t, bool> good_;  // by order that has been answered: in time
+  std::map<std::string, std::uint64_t>
+      drained_;  // by worker: the last order that may have gone there
 };
 
 }  // namespace oatledge::lab
--- a/lab/relays.cpp
+++ b/lab/relays.cpp
@@ -16,7 +16,8 @@
 namespace {
 
 double now_ms() {
-  return std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now().time_since_epoch())
+  return std::chrono::duration<double, std::milli>(
+             std::chrono::steady_clock::now().time_since_epoch())
       .count();
 }
 
@@ -39,7 +40,8 @@
 }  // namespace
 
 Relays::Relays(const std::string& host, int members, std::uint64_t seed)
-    : links_(static_cast<std::size_t>(members), std::vector<Link>(static_cast<std::size_t>(members))),
+    : links_(static_cast<std::size_t>(members),
+             std::vector<Link>(static_cast<std::size_t>(members))),
       random_(seed) {
   std::vector<int> held;  // all at once, so that no two members get one port
   for (int i = 0; i < members; ++i) {
@@ -50,14 +52,16 @@
     inner_.push_back(text(host, address));
     members_[{address.sin_addr.s_addr, address.sin_port}] = i;
   }
-  for (int fd : held) close(fd);
+  for (int fd : held)
+    close(fd);
   thread_ = std::thread([this] { run(); });
 }
 
 Relays::~Relays() {
   over_ = true;
   thread_.join();
-  for (int fd : sockets_) close(fd);
+  for (int fd : sockets_)
+    close(fd);
 }
 
 void Relays::set(int from, int to, const Link& link) {
@@ -67,16 +71,19 @@
 
 void Relays::set_all(const Link& link) {
   std::lock_guard lock(mutex_);
-  for (auto& row : links_) std::ranges::fill(row, link);
+  for (auto& row : links_)
+    std::ranges::fill(row, link);
 }
 
 void Relays::split(const std::vector<std::vector<int>>& groups) {
   std::lock_guard lock(mutex_);
   for (auto& row : links_)
-    for (Link& link : row) link.cut = true;
+    for (Link& link : row)
+      link.cut = true;
   for (const auto& group : groups)
     for (int a : group)
-      for (int b : group) links_.at(static_cast<std::size_t>(a)).at(static_cast<std::size_t>(b)).cut = false;
+      for (int b : group)
+        links_.at(static_cast<std::size_t>(a)).at(static_cast<std::size_t>(b)).cut = false;
 }
 
 void Relays::pass(const Late& late) {
@@ -88,13 +95,15 @@
 
 void Relays::run() {
   std::vector<pollfd> polled;
-  for (int fd : sockets_) polled.push_back({fd, POLLIN, 0});
+  for (int fd : sockets_)
+    polled.push_back({fd, POLLIN, 0});
   std::uniform_real_distribution<double> chance;
   while (!over_) {
     double wait = late_.empty() ? 20 : std::clamp(late_.top().at - now_ms(), 0.0, 20.0);
     poll(polled.data(), polled.size(), static_cast<int>(wait + 0.999));
     for (std::size_t to = 0; to < polled.size(); ++to) {
-      if (!(polled[to].revents & POLLIN)) continue;
+      if (!(polled[to].revents & POLLIN))
+        continue;
       char buffer[2048];
       sockaddr_in from{};
       socklen_t size = sizeof from;
@@ -102,7 +111,8 @@
                                     reinterpret_cast<sockaddr*>(&from), &size)) >= 0;) {
         longest_ = std::max<long>(longest_, n);
         auto member = members_.find({from.sin_addr.s_addr, from.sin_port});
-        if (member == members_.end()) continue;
+        if (member == members_.end())
+          continue;
         Link link;
         {
           std::lock_guard lock(mutex_);
@@ -116,11 +126,12 @@
         if (!bytes.empty() && chance(random_) < link.spoilt)
           bytes[random_() % bytes.size()] ^= static_cast<char>(1 << random_() % 8);
         for (int copies = chance(random_) < link.twice ? 2 : 1; copies > 0; --copies)
-          late_.push({now_ms() + link.delay_ms + link.jitter_ms * chance(random_), ++order_, member->second,
-                      static_cast<int>(to), bytes});
+          late_.push({now_ms() + link.delay_ms + link.jitter_ms * chance(random_), ++order_,
+                      member->second, static_cast<int>(to), bytes});
       }
     }
-    for (; !late_.empty() && late_.top().at <= now_ms(); late_.pop()) pass(late_.top());
+    for (; !late_.empty() && late_.top().at <= now_ms(); late_.pop())
+      pass(late_.top());
   }
 }
 
--- a/lab/relays.h
+++ b/lab/relays.h
@@ -1,6 +1,7 @@
-// Stands for each member of a fleet towards all others: whoever writes to a member writes to its relay, which
-// passes the datagram on from the sender's own relay, so that addresses learnt from messages work. What lies
-// between two members is broken here and the program under test is the one in service.
+// Stands for each member of a fleet towards all others: whoever writes to a member writes to its
+// relay, which passes the datagram on from the sender's own relay, so that addresses learnt from
+// messages work. What lies between two members is broken here and the program under test is the one
+// in service.
 #pragma once
 
 #include <atomic>
@@ -31,7 +32,8 @@
   std::vector<std::string> all() const { return outer_; }  // what the others know, by number
   void set(int from, int to, const Link& link);
   void set_all(const Link& link);
-  // Those in one group hear each other; a member may be in several. Whoever is in none hears nobody.
+  // Those in one group hear each other; a member may be in several. Whoever is in none hears
+  // nobody.
   void split(const std::vector<std::vector<int>>& groups);
   long passed() const { return passed_; }
   long dropped() const { return dropped_; }
@@ -50,7 +52,8 @@
 
   std::vector<int> sockets_;
   std::vector<std::string> inner_, outer_;
-  std::map<std::pair<std::uint32_t, std::uint16_t>, int> members_;  // by the address of their own sockets
+  std::map<std::pair<std::uint32_t, std::uint16_t>, int>
+      members_;  // by the address of their own sockets
   std::mutex mutex_;
   std::vector<std::vector<Link>> links_;
   std::mt19937_64 random_;
--- a/lab/standins.h
+++ b/lab/standins.h
@@ -1,7 +1,7 @@
-// Stand-ins for all that the dispatcher talks with, on blocking sockets of the loopback, a thread each: a
-// discovery, order workers and service clients. What a worker does with an order stands in the order's
-// target, so that a test says it in one place. What each side sent and got is kept, to be compared
-// afterwards.
+// Stand-ins for all that the dispatcher talks with, on blocking sockets of the loopback, a thread
+// each: a discovery, order workers and service clients. What a worker does with an order stands in
+// the order's target, so that a test says it in one place. What each side sent and got is kept, to
+// be compared afterwards.
 #pragma once
 
 #include <atomic>
@@ -30,23 +30,21 @@
 };
 
 std::string pattern_sha(std::uint64_t seed, std::uint64_t n);
-// What a seed's body is made of: no two parts of it are alike, so that a lost or doubled piece shows.
+// What a seed's body is made of: no two parts of it are alike, so that a lost or doubled piece
+// shows.
 void fill_pattern(std::uint64_t seed, std::uint64_t from, char* out, std::size_t n);
 
 // The query of an order's target, as name=number pairs. A worker knows:
-//   reply=BYTES      answers 200 with so many bytes of seed=SEED; else with the SHA-256 of what it got
-//   chunked=1        as chunks
-//   in=RATE out=RATE bytes a second it takes and gives; 0: as fast as it goes
-//   early=AFTER status=CODE   answers so after AFTER bytes of the upload; 503 says that nothing ran
-//   die_in=AFTER die_out=AFTER   closes the connection after so many bytes of the upload, of its reply
-//   hang_in=AFTER hang_out=AFTER  moves nothing more after so many
-//   work=MS          between the last byte and the answer
-//   core=N           serves it on that core, so that other stand-ins' work does not delay it
-//   nice=1           its threads step back behind those of other orders, at both ends
-//   news=1           answers 202 and calls back with the result
-//   back=PORT        calls back there; else to where call_back_to() said
-//   late=MS          between the two
-//   only=N           does all this in its first N attempts at the order, any later one goes well
+//   reply=BYTES      answers 200 with so many bytes of seed=SEED; else with the SHA-256 of what it
+//   got chunked=1        as chunks in=RATE out=RATE bytes a second it takes and gives; 0: as fast
+//   as it goes early=AFTER status=CODE   answers so after AFTER bytes of the upload; 503 says that
+//   nothing ran die_in=AFTER die_out=AFTER   closes the connection after so many bytes of the
+//   upload, of its reply hang_in=AFTER hang_out=AFTER  moves nothing more after so many work=MS
+//   between the last byte and the answer core=N           serves it on that core, so that other
+//   stand-ins' work does not delay it nice=1           its threads step back behind those of other
+//   orders, at both ends news=1           answers 202 and calls back with the result back=PORT
+//   calls back there; else to where call_back_to() said late=MS          between the two only=N
+//   does all this in its first N attempts at the order, any later one goes well
 using Query = std::map<std::string, std::uint64_t>;
 
 // What ails the stand-in for discovery, until it is told otherwise.
@@ -75,15 +73,17 @@
  public:
   // Everything on `host`; ports are the system's. `workers` of them, s-1 and so on.
   Fleet(std::string host, int workers);
-  // From now on each worker runs so many orders at a time, those with news=1; `places` more wait in order,
-  // and whoever comes then is turned away. It tells of each start, and its load in each answer. 0: any
-  // number.
+  // From now on each worker runs so many orders at a time, those with news=1; `places` more wait in
+  // order, and whoever comes then is turned away. It tells of each start, and its load in each
+  // answer. 0: any number.
   void limit(int slots, int places);
   long turned_away() const { return turned_away_; }
   int longest_line() const { return longest_line_; }
   ~Fleet();
   std::string discovery() const { return discovery_; }
-  std::string worker(int number) const { return workers_.at(static_cast<std::size_t>(number)).address; }
+  std::string worker(int number) const {
+    return workers_.at(static_cast<std::size_t>(number)).address;
+  }
   void set_state(int number, const std::string& state);  // up, draining, removed
   void call_back_to(const std::string& address) { dispatcher_ = address; }
   std::vector<Seen> seen();
@@ -191,8 +191,8 @@
   const std::string& operators() const { return operators_; }
   const std::string& folder() const { return folder_; }  // its $TMPDIR is "tmp" in it
   int end();                                             // SIGTERM; its exit code
-  // A second process beside it, with an operators' address of its own; this one becomes the old one. What is
-  // asked of a Dispatcher goes to the new one from then on. False: it ended by itself.
+  // A second process beside it, with an operators' address of its own; this one becomes the old
+  // one. What is asked of a Dispatcher goes to the new one from then on. False: it ended by itself.
   bool start_beside();
   int end_old();  // SIGTERM; its exit code
   void crash();   // SIGKILL, and nothing after it
@@ -210,6 +210,6 @@
 };
 
 void run_on(int first, int last);  // this thread, on these cores, where there are so many
-std::string own_host();            // of the loopback, which other processes of this kind do not share
+std::string own_host();  // of the loopback, which other processes of this kind do not share
 
 }  // namespace oatledge::lab
--- a/src/data.cpp
+++ b/src/data.cpp
@@ -11,7 +11,8 @@
 
 using std::chrono::seconds;
 
-// Hints of the last minutes count; a bin is a quarter of an octave, from 1/64 ms up over thirty octaves.
+// Hints of the last minutes count; a bin is a quarter of an octave, from 1/64 ms up over thirty
+// octaves.
 constexpr Duration kHalfLife = seconds(60);
 constexpr int kBinsPerOctave = 4;
 constexpr int kLowestOctave = -6;
@@ -19,13 +20,16 @@
 constexpr double kTrust = 10;    // jobs' worth of belief that hints are right, before any has ended
 constexpr double kKeep = 0.995;  // weight kept by older jobs at each new one
 
-double ms(Duration d) { return d.count(); }
+double ms(Duration d) {
+  return d.count();
+}
 
 }  // namespace
 
 void validate(const Settings& s) {
   auto need = [](bool ok, const char* what) {
-    if (!ok) throw std::invalid_argument(std::string("stagehinge: ") + what);
+    if (!ok)
+      throw std::invalid_argument(std::string("stagehinge: ") + what);
   };
   need(!s.classes.empty(), "settings name no class");
   need(s.balancers >= 1, "balancers must be at least 1");
@@ -36,15 +40,18 @@
   need(s.budget_free.has_value() == s.extra_window.has_value() &&
            s.extra_per_request.has_value() == s.extra_window.has_value(),
        "the retry budget is given in part: it needs its free attempts, its share and its window");
-  auto sane = [](double x) { return std::isfinite(x) && x >= 0; };
+  auto sane = [](double x) {
+    return std::isfinite(x) && x >= 0;
+  };
   need(sane(s.budget_free.value_or(0)) && sane(s.extra_per_request.value_or(0)) &&
            sane(ms(s.extra_window.value_or(Duration(0)))),
        "a figure of the retry budget is negative or not finite");
-  for (Duration d : {s.tick, s.answer_slack, s.must_ask_in, s.drain_grace, s.ramp_time, s.progress_every,
-                     s.max_retry_after})
+  for (Duration d : {s.tick, s.answer_slack, s.must_ask_in, s.drain_grace, s.ramp_time,
+                     s.progress_every, s.max_retry_after})
     need(ms(d) >= 0, "a time is negative");
   for (const ClassSettings& c : s.classes)
-    need(ms(c.aim) >= 0 && ms(c.deadline) >= 0 && ms(c.memory_span) >= 0 && c.stretch >= 0 && c.worth >= 0,
+    need(ms(c.aim) >= 0 && ms(c.deadline) >= 0 && ms(c.memory_span) >= 0 && c.stretch >= 0 &&
+             c.worth >= 0,
          "a class has a negative time, stretch or worth");
 }
 
@@ -63,32 +70,40 @@
 
 void HintHistogram::decay(Time now) {
   double steps = std::floor(std::max(0.0, (now - decayed_) / Duration(seconds(1))));
-  if (steps < 1) return;
+  if (steps < 1)
+    return;
   double keep = std::exp2(-Duration(steps * 1000) / kHalfLife);
-  for (Bin& b : bins_) b.count *= keep, b.work *= keep, b.square *= keep, b.inverse *= keep;
+  for (Bin& b : bins_)
+    b.count *= keep, b.work *= keep, b.square *= keep, b.inverse *= keep;
   count_ *= keep, work_ *= keep;
   decayed_ += Duration(steps * 1000);
 }
 
 void HintHistogram::add(Time now, double work_ms) {
-  if (!(work_ms > 0 && work_ms <= 1e13)) return;
-  if (!first_) first_ = decayed_ = now;
+  if (!(work_ms > 0 && work_ms <= 1e13))
+    return;
+  if (!first_)
+    first_ = decayed_ = now;
   decay(now);
   double octave = std::log2(work_ms) - kLowestOctave;
   auto last = static_cast<double>(bins_.size() - 1);
-  Bin& b = bins_[static_cast<std::size_t>(std::clamp(std::floor(octave * kBinsPerOctave), 0.0, last))];
+  Bin& b =
+      bins_[static_cast<std::size_t>(std::clamp(std::floor(octave * kBinsPerOctave), 0.0, last))];
   b.count += 1, b.work += work_ms, b.square += work_ms * work_ms, b.inverse += 1 / work_ms;
   count_ += 1, work_ += work_ms;
 }
 
 double HintHistogram::work_rate(Time now) const {
-  if (!first_) return 0;
+  if (!first_)
+    return 0;
   double age = std::max(1.0, (now - *first_) / Duration(seconds(1)));
   double half = kHalfLife / Duration(seconds(1));
   return work_ / (1000 * half / std::log(2) * (1 - std::exp2(-age / half)));
 }
 
-double HintModel::slope() const { return std::clamp((both_ + kTrust) / (hint_var_ + kTrust), 0.2, 1.0); }
+double HintModel::slope() const {
+  return std::clamp((both_ + kTrust) / (hint_var_ + kTrust), 0.2, 1.0);
+}
 
 double HintModel::expected(double hint_ms) const {
   return bent_ > 0 ? std::pow(hint_ms, slope()) * hints_ / bent_ : hint_ms;
@@ -99,12 +114,14 @@
 }
 
 void HintModel::learn(double hint_ms, double seen_ms) {
-  if (!(hint_ms > 0 && seen_ms > 0)) return;
+  if (!(hint_ms > 0 && seen_ms > 0))
+    return;
   double x = std::log(hint_ms), y = std::log(seen_ms);
   n_ = kKeep * n_ + 1, hint_var_ *= kKeep, seen_var_ *= kKeep, both_ *= kKeep;
   double dx = x - hint_mean_, dy = y - seen_mean_;
   hint_mean_ += dx / n_, seen_mean_ += dy / n_;
-  hint_var_ += dx * (x - hint_mean_), seen_var_ += dy * (y - seen_mean_), both_ += dx * (y - seen_mean_);
+  hint_var_ += dx * (x - hint_mean_), seen_var_ += dy * (y - seen_mean_),
+      both_ += dx * (y - seen_mean_);
   hints_ = kKeep * hints_ + hint_ms, bent_ = kKeep * bent_ + std::pow(hint_ms, slope());
 }
 
--- a/src/features/features.cpp
+++ b/src/features/features.cpp
@@ -29,7 +29,8 @@
     {"longest_transfer_ms", 100, 86'400'000},
 };
 
-constexpr Range kFleet[] = {{"period_ms", 50, 60'000}, {"answer_ms", 10, 30'000}, {"forget_s", 10, 604'800}};
+constexpr Range kFleet[] = {
+    {"period_ms", 50, 60'000}, {"answer_ms", 10, 30'000}, {"forget_s", 10, 604'800}};
 
 template <std::size_t N>
 void check_ranges(const google::protobuf::Message& m, const Range (&ranges)[N],
@@ -39,11 +40,12 @@
     bool wide = field->cpp_type() == google::protobuf::FieldDescriptor::CPPTYPE_UINT64;
     std::uint64_t value =
         wide ? m.GetReflection()->GetUInt64(m, field) : m.GetReflection()->GetUInt32(m, field);
-    if (value >= r.low && value <= r.high) continue;
+    if (value >= r.low && value <= r.high)
+      continue;
     auto at = where->GetLocation(field, -1);
-    faults.AddError(
-        at.line, at.column,
-        std::string(r.field) + " must be from " + std::to_string(r.low) + " to " + std::to_string(r.high));
+    faults.AddError(at.line, at.column,
+                    std::string(r.field) + " must be from " + std::to_string(r.low) + " to " +
+                        std::to_string(r.high));
   }
 }
 
@@ -59,13 +61,17 @@
 void check_fleet(const Fleet& f, const TextFormat::ParseInfoTree* where, Faults& faults) {
   check_ranges(f, kFleet, where, faults);
   auto address = [&](const char* field, int index, const std::string& text) {
-    if (fleet::parse_endpoint(text)) return;
+    if (fleet::parse_endpoint(text))
+      return;
     auto at = where->GetLocation(f.GetDescriptor()->FindFieldByName(field), index);
     faults.AddError(at.line, at.column, std::string(field) + " must be ADDRESS:PORT, in digits");
   };
-  for (int i = 0; i < f.seed_size(); ++i) address("seed", i, f.seed(i));
-  if (f.has_advertise()) address("advertise", -1, f.advertise());
-  if (2 * std::uint64_t{f.answer_ms()} <= f.period_ms()) return;
+  for (int i = 0; i < f.seed_size(); ++i)
+    address("seed", i, f.seed(i));
+  if (f.has_advertise())
+    address("advertise", -1, f.advertise());
+  if (2 * std::uint64_t{f.answer_ms()} <= f.period_ms())
+    return;
   auto at = where->GetLocation(
       f.GetDescriptor()->FindFieldByName(f.has_answer_ms() ? "answer_ms" : "period_ms"), -1);
   faults.AddError(at.line, at.column,
@@ -84,19 +90,23 @@
   bool parsed = parser.ParseFromString(text, &all);
   if (parsed && all.has_streaming())
     check_streaming(all.streaming(),
-                    where.GetTreeForNested(all.GetDescriptor()->FindFieldByName("streaming"), -1), faults);
+                    where.GetTreeForNested(all.GetDescriptor()->FindFieldByName("streaming"), -1),
+                    faults);
   if (parsed && all.has_fleet())
-    check_fleet(all.fleet(), where.GetTreeForNested(all.GetDescriptor()->FindFieldByName("fleet"), -1),
-                faults);
-  if (!faults.text().empty()) throw BadFeatures(faults.text());
-  if (!parsed) throw BadFeatures(name + ":1:1: this is no features file");
+    check_fleet(all.fleet(),
+                where.GetTreeForNested(all.GetDescriptor()->FindFieldByName("fleet"), -1), faults);
+  if (!faults.text().empty())
+    throw BadFeatures(faults.text());
+  if (!parsed)
+    throw BadFeatures(name + ":1:1: this is no features file");
   return all;
 }
 
 Features read_features_file(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   std::string text{std::istreambuf_iterator<char>(in), {}};
-  if (!in) throw BadFeatures(path + ":1:1: cannot be read");
+  if (!in)
+    throw BadFeatures(path + ":1:1: cannot be read");
   return read_features(text, path);
 }
 
--- a/src/features/features.h
+++ b/src/features/features.h
@@ -1,5 +1,5 @@
-// The project's own settings: a features file in protobuf text format, read and checked. The schema is
-// proto/features.proto.
+// The project's own settings: a features file in protobuf text format, read and checked. The schema
+// is proto/features.proto.
 #pragma once
 
 #include <stdexcept>
--- a/src/fleet/seal.h
+++ b/src/fleet/seal.h
@@ -1,10 +1,10 @@
-// Seals the datagrams of one fleet with a keyed hash, so that no stranger speaks in it and nothing that was
-// recorded counts again: not twice, not at another member, not after a restart of whoever hears it. Pure: bytes
-// and time in, bytes out. What is sealed can be read by anybody.
+// Seals the datagrams of one fleet with a keyed hash, so that no stranger speaks in it and nothing
+// that was recorded counts again: not twice, not at another member, not after a restart of whoever
+// hears it. Pure: bytes and time in, bytes out. What is sealed can be read by anybody.
 //
-// Layout, integers with the highest byte first: 0x31, key number 1, session 6 (ms of the wall clock when the
-// sender began), age 4 (ms since then), counter 4, what is sealed, hash 16: BLAKE2b with the key, over the
-// addresses and ports of sender and receiver and all before it.
+// Layout, integers with the highest byte first: 0x31, key number 1, session 6 (ms of the wall clock
+// when the sender began), age 4 (ms since then), counter 4, what is sealed, hash 16: BLAKE2b with
+// the key, over the addresses and ports of sender and receiver and all before it.
 #pragma once
 
 #include <array>
@@ -25,15 +25,17 @@
 
 class Seal {
  public:
-  using Wall = std::uint64_t;                    // ms since 1970
-  static constexpr std::size_t kOverhead = 32;   // bytes
-  static constexpr Wall kMostSkew = 30'000;      // ms, of the clocks of two members and the way between them
-  static constexpr std::size_t kWindow = 64;     // counters back from the highest that may still come
+  using Wall = std::uint64_t;                   // ms since 1970
+  static constexpr std::size_t kOverhead = 32;  // bytes
+  static constexpr Wall kMostSkew =
+      30'000;  // ms, of the clocks of two members and the way between them
+  static constexpr std::size_t kWindow = 64;  // counters back from the highest that may still come
 
   enum class Fault { None, NotSealed, UnknownKey, Forged, Stale, Replayed };
   static const char* to_text(Fault fault);
 
-  // `keys`: at least one; the first one seals. Throws std::runtime_error where libsodium cannot start.
+  // `keys`: at least one; the first one seals. Throws std::runtime_error where libsodium cannot
+  // start.
   Seal(std::vector<Key> keys, Endpoint self, Wall now);
 
   void exchange(std::vector<Key> keys) { keys_ = std::move(keys); }
--- a/src/fleet/udp_peers.h
+++ b/src/fleet/udp_peers.h
@@ -1,5 +1,5 @@
-// The other dispatchers over UDP: when the number of our attempts at an instance changes, those near to it
-// are told.
+// The other dispatchers over UDP: when the number of our attempts at an instance changes, those
+// near to it are told.
 #pragma once
 
 #include <unordered_map>
@@ -25,19 +25,19 @@
     std::vector<View::Entry> known;  // from the process that had the socket
     Duration period{1000}, answer_in{300}, forget{3'600'000};
     std::vector<std::string> seeds;  // asked for the others instead of all peers; empty: all peers
-    std::string advertise;           // our own address as the others see it; empty: that of the peers
-    std::vector<Key> keys;           // empty: nothing is sealed
-    Duration to_wall{0};             // from the clock's time to ms since 1970
+    std::string advertise;  // our own address as the others see it; empty: that of the peers
+    std::vector<Key> keys;  // empty: nothing is sealed
+    Duration to_wall{0};    // from the clock's time to ms since 1970
   };
-  // Throws std::runtime_error where the address cannot be had. `bound`: the socket, where another process of
-  // this dispatcher had it.
+  // Throws std::runtime_error where the address cannot be had. `bound`: the socket, where another
+  // process of this dispatcher had it.
   UdpPeers(GMainContext* context, Options options, transport::Deadlines& deadlines,
            const transport::Clock& clock, operations::Log& log, transport::Descriptor bound = {});
   ~UdpPeers() override { deadlines_.drop(sweep_), deadlines_.drop(tick_), deadlines_.drop(late_); }
 
   void attach(routing::Router& router) { router_ = &router; }
-  void list(
-      const std::vector<std::string>& instances);  // on the own list; after the module has heard of them
+  void list(const std::vector<std::string>&
+                instances);  // on the own list; after the module has heard of them
   void have(const std::string& instance, int jobs) override;
   // While another process of this dispatcher speaks for it, this one says and hears nothing.
   void speak(bool on);
@@ -45,8 +45,8 @@
   void leave();                          // says goodbye to the fleet's view
   const View* view() const { return view_ ? &*view_ : nullptr; }
   // {"self", "incarnation", "digest", "members": [{"member", "state", "incarnation", "for_ms",
-  // "round_trip_ms", "damped"}], "sent", "dropped" (by reason), "doubt_in_self", "sealed"}; empty where no
-  // view is kept.
+  // "round_trip_ms", "damped"}], "sent", "dropped" (by reason), "doubt_in_self", "sealed"}; empty
+  // where no view is kept.
   std::string view_json() const;
   std::optional<operations::Gauges::Fleet> figures() const;  // nothing where no view is kept
   transport::Descriptor descriptor() const { return socket_.descriptor(); }
--- a/src/fleet/view.h
+++ b/src/fleet/view.h
@@ -1,6 +1,7 @@
-// Who of the fleet is there, as this member holds it: SWIM with local health, digests, and probes of the
-// dead. Pure: bytes and time in, bytes and events out. Hearsay, for people and for saving messages; no
-// decision on orders rests on it. docs/design/fleet-view.md has the ways that were weighed.
+// Who of the fleet is there, as this member holds it: SWIM with local health, digests, and probes
+// of the dead. Pure: bytes and time in, bytes and events out. Hearsay, for people and for saving
+// messages; no decision on orders rests on it. docs/design/fleet-view.md has the ways that were
+// weighed.
 //
 // A datagram, at most 256 bytes, integers with the highest byte first:
 //   0x20 + version 2   1 byte   apart from the load messages, whose first byte is 0x10 to 0x1f
@@ -10,10 +11,12 @@
 //   digest             8 bytes  of the sender's view: who is alive or suspect
 //   target             6 bytes  kind 3: who is to be probed; else of whom an answer is, or zeros
 //   riding             1 byte   bytes of what rides along
-//   entries           11 bytes each: address 4, port 2, state 1, incarnation 4; kind 5: 16 digests of parts
+//   entries           11 bytes each: address 4, port 2, state 1, incarnation 4; kind 5: 16 digests
+//   of parts
 //                     of the table, 8 bytes each
 //   what rides along   of those who use the view; none of this file's business
-//   check              4 bytes  of all before it: guards against bytes spoilt on the way, not against malice
+//   check              4 bytes  of all before it: guards against bytes spoilt on the way, not
+//   against malice
 #pragma once
 
 #include <stagehinge/dispatcher.h>
@@ -53,7 +56,8 @@
   std::uint32_t incarnation = 0;
   Time since{};            // of this state
   double round_trip = -1;  // ms; below 0: none was measured
-  double flaps = 0;        // times that it came back from the dead, as of flaps_at; halves as time goes by
+  double flaps =
+      0;  // times that it came back from the dead, as of flaps_at; halves as time goes by
   Time flaps_at{};
 };
 
@@ -68,7 +72,7 @@
     Endpoint self;
     std::vector<Endpoint> others;   // known from the start: all, or a few that know more
     std::uint32_t incarnation = 1;  // higher than at the last start
-    std::vector<Entry> known;       // by another process of this very member, that it takes over from
+    std::vector<Entry> known;  // by another process of this very member, that it takes over from
     std::uint64_t seed = 0;
     Duration period{1000};       // one probe in each; tick() at least ten times in it
     Duration answer_in{300};     // before others are asked to try
@@ -81,8 +85,8 @@
   };
   using Send = std::function<void(const Endpoint& to, const std::string& bytes)>;
   // `other`: the state is another one; false: only the incarnation has risen.
-  using Changed =
-      std::function<void(const Endpoint& member, State state, std::uint32_t incarnation, bool other)>;
+  using Changed = std::function<void(const Endpoint& member, State state, std::uint32_t incarnation,
+                                     bool other)>;
 
   View(Options options, Time now, Send send, Changed changed);
 
--- a/src/handover/succession.h
+++ b/src/handover/succession.h
@@ -1,8 +1,9 @@
-// Who takes new jobs while one dispatcher is two processes: the states of both sides, without sockets. The
-// caller feeds what it sees and carries out what comes back.
+// Who takes new jobs while one dispatcher is two processes: the states of both sides, without
+// sockets. The caller feeds what it sees and carries out what comes back.
 //
-// The old one takes connections until it has said Yours, the new one from when it has heard that, or from
-// when nobody listens at the local path any more. So both never do, and where one is dead the other does.
+// The old one takes connections until it has said Yours, the new one from when it has heard that,
+// or from when nobody listens at the local path any more. So both never do, and where one is dead
+// the other does.
 #pragma once
 
 #include <cstdint>
@@ -28,9 +29,9 @@
 
   bool free() const { return state_ == State::Alone; }  // else another newcomer is hung up on
   Do hello(std::uint32_t version, const Who& who);      // Welcome, or Refuse and hang up
-  Do ready();                                           // Yield: stop taking connections, then say Yours
-  Do nonsense();                                        // a message that cannot be read, or out of turn
-  Do ended();  // the link: TakeBack where connections had been given up, as the newcomer is dead
+  Do ready();     // Yield: stop taking connections, then say Yours
+  Do nonsense();  // a message that cannot be read, or out of turn
+  Do ended();     // the link: TakeBack where connections had been given up, as the newcomer is dead
 
  private:
   Who self_;
--- a/src/http/http_front.cpp
+++ b/src/http/http_front.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// A connection has this long from connecting to bring its first whole request: bad clients are owed an error
-// or a close within 3 s. Later requests have longer, from their first byte to their last.
+// A connection has this long from connecting to bring its first whole request: bad clients are owed
+// an error or a close within 3 s. Later requests have longer, from their first byte to their last.
 constexpr transport::Duration kFirst{2000};
 constexpr transport::Duration kSlowest{10'000};
 bool is_command(const Message& head) {
@@ -26,7 +26,8 @@
 
 HttpFront::Session& HttpFront::begin(SlotRef at) {
   Session& s = sessions_[at];
-  if (on_streams_) s.parser.stream(is_command, on_streams_->most_body);
+  if (on_streams_)
+    s.parser.stream(is_command, on_streams_->most_body);
   return s;
 }
 
@@ -39,28 +40,34 @@
 
 void HttpFront::on_bytes(SlotRef at, std::string_view bytes) {
   auto it = sessions_.find(at);
-  if (it == sessions_.end()) return;
+  if (it == sessions_.end())
+    return;
   Session& s = it->second;
-  if (s.transfer && s.transfer->upload && !s.transfer->reader.done()) return on_upload(at, s, bytes);
+  if (s.transfer && s.transfer->upload && !s.transfer->reader.done())
+    return on_upload(at, s, bytes);
   feed(s, bytes);
-  // Guards memory: a client may send ahead while its command runs, but little of it is kept. The command
-  // itself must not be lost for that.
-  if ((s.command || s.transfer || s.asks) && s.parser.buffered() > protocol::kMostHead) hold(at, s, true);
+  // Guards memory: a client may send ahead while its command runs, but little of it is kept. The
+  // command itself must not be lost for that.
+  if ((s.command || s.transfer || s.asks) && s.parser.buffered() > protocol::kMostHead)
+    hold(at, s, true);
   work(at);
 }
 
-// Guards the other connections against one that sends hundreds of requests at once: a few are answered, the
-// next ones after everybody else had a turn.
+// Guards the other connections against one that sends hundreds of requests at once: a few are
+// answered, the next ones after everybody else had a turn.
 void HttpFront::work(SlotRef at) {
   for (int handled = 0;; ++handled) {
     auto it = sessions_.find(at);
-    if (it == sessions_.end() || it->second.command || it->second.transfer || it->second.asks) return;
-    if (try_pass(at)) return;
+    if (it == sessions_.end() || it->second.command || it->second.transfer || it->second.asks)
+      return;
+    if (try_pass(at))
+      return;
     Session& s = it->second;
     if (handled == kMessagesATurn && !s.parser.idle()) {
       hold(at, s, true);
       s.more = on_.deadlines.add(on_.clock.now(), [this, at] {
-        if (auto next = sessions_.find(at); next != sessions_.end()) next->second.more = {}, work(at);
+        if (auto next = sessions_.find(at); next != sessions_.end())
+          next->second.more = {}, work(at);
       });
       return;
     }
@@ -78,10 +85,14 @@
       continue;
     }
     hold(at, s, false);
-    if (s.parser.idle()) return note_idle(at, s);
-    if (s.parser.take_continue()) on_.network.send(at, protocol::write_response(100, {}, {}, true));
-    if (idle_.contains(s.place)) leave_orders(s);
-    if (s.slow.order == 0) wait_for_whole(at, s, kSlowest);
+    if (s.parser.idle())
+      return note_idle(at, s);
+    if (s.parser.take_continue())
+      on_.network.send(at, protocol::write_response(100, {}, {}, true));
+    if (idle_.contains(s.place))
+      leave_orders(s);
+    if (s.slow.order == 0)
+      wait_for_whole(at, s, kSlowest);
     return;
   }
 }
@@ -90,23 +101,29 @@
 void HttpFront::wait_for_whole(SlotRef at, Session& s, transport::Duration longest) {
   s.slow = on_.deadlines.add(on_.clock.now() + longest, [this, at] {
     auto slow = sessions_.find(at);
-    if (slow == sessions_.end()) return;
+    if (slow == sessions_.end())
+      return;
     slow->second.slow = {};
-    if (!slow->second.parser.idle()) return reject(at, 408, "the request did not come whole in time");
+    if (!slow->second.parser.idle())
+      return reject(at, 408, "the request did not come whole in time");
     forget(at);
     on_.network.finish(at);
   });
 }
 
 void HttpFront::hold(SlotRef at, Session& s, bool held) {
-  if (std::exchange(s.held, held) == held) return;
-  if (held) s.held_since = on_.clock.now();
-  else if (!on_.network.unread(at)) s.held_since.reset();  // nothing has waited there
+  if (std::exchange(s.held, held) == held)
+    return;
+  if (held)
+    s.held_since = on_.clock.now();
+  else if (!on_.network.unread(at))
+    s.held_since.reset();  // nothing has waited there
   on_.network.hold(at, held);
 }
 
-// A client's patience counts from its last byte, and a command that was sent ahead may have waited here for
-// most of it. Bytes within a few milliseconds count as one arrival, so that single ones cost little.
+// A client's patience counts from its last byte, and a command that was sent ahead may have waited
+// here for most of it. Bytes within a few milliseconds count as one arrival, so that single ones
+// cost little.
 void HttpFront::feed(Session& s, std::string_view bytes) {
   transport::Time now = on_.clock.now(), came = s.held ? now : s.held_since.value_or(now);
   s.held_since = s.held ? s.held_since : std::nullopt;
@@ -119,22 +136,26 @@
 
 transport::Time HttpFront::arrived(Session& s) const {
   std::uint64_t used = s.fed - s.parser.buffered();
-  while (s.arrivals.size() > 1 && s.arrivals.front().upto < used) s.arrivals.pop_front();
+  while (s.arrivals.size() > 1 && s.arrivals.front().upto < used)
+    s.arrivals.pop_front();
   return s.arrivals.empty() ? on_.clock.now() : s.arrivals.front().last;
 }
 
 void HttpFront::handle(SlotRef at, Message m) {
   std::string_view path = std::string_view(m.target).substr(0, m.target.find('?'));
   bool ready = path == "/ready", news = path == "/_jobs/news";
-  if (!ready && !news && !protocol::is_command_path(m.target)) return respond(at, 404, kText, "no such path");
+  if (!ready && !news && !protocol::is_command_path(m.target))
+    return respond(at, 404, kText, "no such path");
   const char* method = ready ? "GET" : "POST";
-  if (m.method != method) return respond(at, 405, {{"Allow", method}}, "");
+  if (m.method != method)
+    return respond(at, 405, {{"Allow", method}}, "");
   if (ready)
     return respond(at, this->ready() ? 200 : 503, kText,
                    this->ready()               ? "ready"
                    : stage_ == Stage::Starting ? "no list yet"
                                                : "draining");
-  if (news) return take_news(at, m);
+  if (news)
+    return take_news(at, m);
   take_command(at, std::move(m));
 }
 
@@ -150,7 +171,8 @@
   }
   auto waited = on_.clock.now() - arrived(sessions_.at(at));
   command.request.patience = std::max(stagehinge::Duration(0), command.request.patience - waited);
-  if (streamed) command.fields = std::move(fields), stretch_patience(command.request);
+  if (streamed)
+    command.fields = std::move(fields), stretch_patience(command.request);
   stagehinge::Request request = command.request;
   if (stage_ == Stage::Ending) {
     router_->count_nack(request.job_class);
@@ -160,14 +182,16 @@
   if (!give_pipes(*cargo, streamed)) {
     on_.log.line("stream", "no memory for another body; a command was refused");
     router_->count_nack(request.job_class);
-    if (streamed) sessions_.at(at).keep_alive = false;
+    if (streamed)
+      sessions_.at(at).keep_alive = false;
     return respond(at, 503, {}, "too many bodies are on their way");
   }
   auto taken = router_->take({request, cargo}, [&](routing::CommandRef c) {
     Session& s = sessions_.at(at);
     s.command = c;
     waiting_[c] = at;
-    if (!streamed) return;
+    if (!streamed)
+      return;
     if (s.parser.passing().framing() == protocol::Framing::Length)
       cargo->length = s.parser.passing().length();
     begin_upload(at, s, cargo->upload, first, expects);
@@ -176,7 +200,8 @@
   // Never reached the module, so nothing of it can have run: trying again is harmless.
   if (taken == Taking::Full) {
     on_.log.line("full", "the command table is full; a command was refused");
-    if (streamed) sessions_.at(at).keep_alive = false;
+    if (streamed)
+      sessions_.at(at).keep_alive = false;
     respond(at, 503, {}, "too many commands are open");
   } else if (taken == Taking::Duplicate) {
     reject(at, 409, "a command had this X-Correlation-Id a moment ago");
@@ -190,10 +215,12 @@
   } catch (const protocol::Refused& e) {
     return reject(at, 400, std::string("call-back: ") + e.what());
   }
-  if (ward_news_ && ward_news_(n)) return respond(at, 204, {}, {});
+  if (ward_news_ && ward_news_(n))
+    return respond(at, 204, {}, {});
   if (forward_ && !router_->knows(n.id) && forward_(m.body, [this, at](bool taken) {
         auto it = sessions_.find(at);
-        if (it == sessions_.end()) return;
+        if (it == sessions_.end())
+          return;
         it->second.asks = false;
         respond(at, taken ? 204 : 503, {}, {});  // after a 503 the instance calls again
         work(at);
@@ -218,34 +245,40 @@
   router_->progress(std::move(p));
 }
 
-// At the end a connection is kept for as long as there is something of the next message: that has been taken.
+// At the end a connection is kept for as long as there is something of the next message: that has
+// been taken.
 bool HttpFront::keeps(SlotRef at, const Session& s) const {
   return s.keep_alive && (stage_ < Stage::Closing || !s.parser.idle() || on_.network.unread(at));
 }
 
 void HttpFront::respond(SlotRef at, int status, const Headers& headers, std::string_view body) {
   auto it = sessions_.find(at);
-  if (it == sessions_.end()) return;
-  if (it->second.transfer) leave_upload(at, it->second), drop_transfer(at, it->second);
+  if (it == sessions_.end())
+    return;
+  if (it->second.transfer)
+    leave_upload(at, it->second), drop_transfer(at, it->second);
   bool keep = keeps(at, it->second);
   on_.network.send(at, protocol::write_response(status, headers, body, keep));
-  if (keep) return;
+  if (keep)
+    return;
   forget(at);
   on_.network.finish(at);
 }
 
-// What makes no sense costs its sender the connection: what follows on it may be the rest of the same
-// nonsense.
+// What makes no sense costs its sender the connection: what follows on it may be the rest of the
+// same nonsense.
 void HttpFront::reject(SlotRef at, int status, const std::string& why) {
   on_.log.line("client", std::to_string(status) + ": " + why);
-  if (auto it = sessions_.find(at); it != sessions_.end()) it->second.keep_alive = false;
+  if (auto it = sessions_.find(at); it != sessions_.end())
+    it->second.keep_alive = false;
   respond(at, status, kText, why);
 }
 
 void HttpFront::answer(routing::CommandRef command, int status, const Headers& headers,
                        std::string_view body) {
   auto it = waiting_.find(command);
-  if (it == waiting_.end()) return;
+  if (it == waiting_.end())
+    return;
   SlotRef at = it->second;
   waiting_.erase(it);
   sessions_.at(at).command.reset();
@@ -254,9 +287,11 @@
 }
 
 void HttpFront::served(routing::CommandRef command, routing::Reply reply) {
-  if (!reply.rest) return answer(command, 200, reply.fields, reply.body);
+  if (!reply.rest)
+    return answer(command, 200, reply.fields, reply.body);
   auto it = waiting_.find(command);
-  if (it == waiting_.end()) return reply.rest->abandon();
+  if (it == waiting_.end())
+    return reply.rest->abandon();
   SlotRef at = it->second;
   waiting_.erase(it);
   Session& s = sessions_.at(at);
@@ -280,12 +315,15 @@
 
 void HttpFront::on_closed(SlotRef at, bool) {
   auto it = sessions_.find(at);
-  if (it == sessions_.end()) return;
+  if (it == sessions_.end())
+    return;
   std::optional<routing::CommandRef> command = it->second.command;
   std::function<void()> left = std::move(it->second.left);
   forget(at);
-  if (left) left();
-  if (!command) return;
+  if (left)
+    left();
+  if (!command)
+    return;
   waiting_.erase(*command);
   router_->client_gone(*command);
 }
@@ -300,7 +338,8 @@
 }
 
 void HttpFront::note_idle(SlotRef at, Session& s) {
-  if (s.place != 0) return;
+  if (s.place != 0)
+    return;
   s.place = ++order_;
   idle_[s.place] = at;
 }
@@ -310,16 +349,18 @@
   s.place = 0;
 }
 
-// Those that have never said anything go first, then those between two requests, then those whose first
-// request does not come whole. What has sent something that is still to be read is left alone: it may be an
-// ordinary client's request, and the first one on a connection is not sent again.
+// Those that have never said anything go first, then those between two requests, then those whose
+// first request does not come whole. What has sent something that is still to be read is left
+// alone: it may be an ordinary client's request, and the first one on a connection is not sent
+// again.
 bool HttpFront::shed_idle() {
   return shed_one(fresh_, true) || shed_one(idle_, true) || shed_one(fresh_, false);
 }
 
 bool HttpFront::shed_one(const Order& from, bool silent_only) {
   for (auto [place, at] : from) {
-    if ((silent_only && !sessions_.at(at).parser.idle()) || on_.network.unread(at)) continue;
+    if ((silent_only && !sessions_.at(at).parser.idle()) || on_.network.unread(at))
+      continue;
     on_.log.line("shed", "a client connection without a request was closed to make room");
     forget(at);
     on_.network.close(at);
@@ -331,19 +372,25 @@
 void HttpFront::pass_on(PassOn pass) {
   pass_ = std::move(pass);
   std::vector<SlotRef> all;
-  for (const auto& [at, s] : sessions_) all.push_back(at);
-  for (SlotRef at : all) try_pass(at);
+  for (const auto& [at, s] : sessions_)
+    all.push_back(at);
+  for (SlotRef at : all)
+    try_pass(at);
 }
 
 bool HttpFront::try_pass(SlotRef at) {
   auto it = sessions_.find(at);
-  if (!pass_ || it == sessions_.end()) return false;
+  if (!pass_ || it == sessions_.end())
+    return false;
   Session& s = it->second;
-  if (s.command || s.transfer || s.asks || s.more.order != 0) return false;
+  if (s.command || s.transfer || s.asks || s.more.order != 0)
+    return false;
   std::optional<std::string> unread = s.parser.unread();
-  if (!unread) return false;
+  if (!unread)
+    return false;
   transport::Descriptor connection = on_.network.release(at);
-  if (!connection) return false;
+  if (!connection)
+    return false;
   bool used = !fresh_.contains(s.place);
   forget(at);
   pass_(std::move(connection), std::move(*unread), used);
@@ -352,13 +399,16 @@
 
 std::optional<HttpFront::Parting> HttpFront::part_with(routing::CommandRef command) {
   auto it = waiting_.find(command);
-  if (it == waiting_.end()) return std::nullopt;
+  if (it == waiting_.end())
+    return std::nullopt;
   SlotRef at = it->second;
   Session& s = sessions_.at(at);
   std::optional<std::string> unread = s.parser.unread();
-  if (s.transfer || !unread) return std::nullopt;
+  if (s.transfer || !unread)
+    return std::nullopt;
   Parting p{on_.network.release(at), std::move(*unread), s.keep_alive, s.old};
-  if (!p.connection) return std::nullopt;
+  if (!p.connection)
+    return std::nullopt;
   waiting_.erase(it);
   forget(at);
   return p;
@@ -372,15 +422,18 @@
 
 void HttpFront::answer_ward(SlotRef at, int status, std::string_view body) {
   auto it = sessions_.find(at);
-  if (it == sessions_.end()) return;
+  if (it == sessions_.end())
+    return;
   it->second.asks = false, it->second.left = nullptr;
   respond(at, status, {}, body);
   work(at);
 }
 
 void HttpFront::adopt(SlotRef at, std::string_view unread, bool used) {
-  if (used) begin(at);
-  else on_accepted(at);
+  if (used)
+    begin(at);
+  else
+    on_accepted(at);
   on_bytes(at, unread);
 }
 
@@ -392,7 +445,8 @@
 
 void HttpFront::finish_all(Order from) {  // a copy: each leaves its order
   for (auto [place, at] : from)
-    if (sessions_.at(at).parser.idle() && !on_.network.unread(at)) forget(at), on_.network.finish(at);
+    if (sessions_.at(at).parser.idle() && !on_.network.unread(at))
+      forget(at), on_.network.finish(at);
 }
 
 }  // namespace oatledge::http
--- a/src/http/http_front.h
+++ b/src/http/http_front.h
@@ -1,5 +1,5 @@
-// The client side over HTTP: what comes on the listening address. Service clients hand in commands, instances
-// call back, and the front asks whether the program is ready.
+// The client side over HTTP: what comes on the listening address. Service clients hand in commands,
+// instances call back, and the front asks whether the program is ready.
 #pragma once
 
 #include <deque>
@@ -19,7 +19,8 @@
 
 class HttpFront final : public transport::Acceptor, public routing::ClientSide {
  public:
-  HttpFront(Platform on, std::optional<Streaming> streaming) : on_(on), on_streams_(std::move(streaming)) {}
+  HttpFront(Platform on, std::optional<Streaming> streaming)
+      : on_(on), on_streams_(std::move(streaming)) {}
 
   void attach(routing::Router& router) { router_ = &router; }
   void set_ready() { stage_ = std::max(stage_, Stage::Ready); }
@@ -32,27 +33,32 @@
   void refuse_commands() { stage_ = Stage::Ending; }
   bool empty() const { return sessions_.empty(); }
 
-  // The other process of this dispatcher, during an upgrade. Each connection goes there once it is between
-  // two messages, with what has been read of the next; `used`: it has brought one before.
-  using PassOn = std::function<void(transport::Descriptor connection, std::string unread, bool used)>;
+  // The other process of this dispatcher, during an upgrade. Each connection goes there once it is
+  // between two messages, with what has been read of the next; `used`: it has brought one before.
+  using PassOn =
+      std::function<void(transport::Descriptor connection, std::string unread, bool used)>;
   void pass_on(PassOn pass);  // null: no more
   bool passing() const { return pass_ != nullptr; }
-  // The connection of an open command, for another process to answer on. Nothing: it cannot be passed.
+  // The connection of an open command, for another process to answer on. Nothing: it cannot be
+  // passed.
   struct Parting {
     transport::Descriptor connection;
     std::string unread;
     bool keep_alive = true, old = false;
   };
   std::optional<Parting> part_with(routing::CommandRef command);
-  void adopt(transport::SlotRef connection, std::string_view unread, bool used);  // one that came from there
-  // The same while a command of it is open, which is answered by answer_ward(); `left`: the client went
-  // first.
+  void adopt(transport::SlotRef connection, std::string_view unread,
+             bool used);  // one that came from there
+  // The same while a command of it is open, which is answered by answer_ward(); `left`: the client
+  // went first.
   void adopt_ward(transport::SlotRef connection, const Parting& as, std::function<void()> left);
   void answer_ward(transport::SlotRef connection, int status, std::string_view body);
   // Call-backs are offered here first; true: it was for a ward.
-  void on_ward_news(std::function<bool(const protocol::News&)> hear) { ward_news_ = std::move(hear); }
-  // A call-back for a job that is not known here; false: there is nobody to ask. `told` comes later, with
-  // false where the other one is gone.
+  void on_ward_news(std::function<bool(const protocol::News&)> hear) {
+    ward_news_ = std::move(hear);
+  }
+  // A call-back for a job that is not known here; false: there is nobody to ask. `told` comes
+  // later, with false where the other one is gone.
   using Forward = std::function<bool(std::string_view body, std::function<void(bool taken)> told)>;
   void forward_news(Forward forward) { forward_ = std::move(forward); }
   void cut_streams();  // the time is over: replies that are on their way end here
@@ -83,16 +89,18 @@
   };
   struct Session {
     protocol::Parser parser{protocol::Parser::Kind::Request};
-    std::optional<routing::CommandRef> command;  // one at a time; what follows it waits in the parser
+    std::optional<routing::CommandRef>
+        command;  // one at a time; what follows it waits in the parser
     std::unique_ptr<Transfer> transfer;
     bool keep_alive = true, held = false, old = false;  // old: HTTP/1.0
-    bool asks = false;                                  // waits for the other process, or for a ward's end
-    std::uint64_t fed = 0;                              // bytes given to the parser, ever...
-    std::deque<Arrival> arrivals;                       // ...and when those came that it has not used yet
-    std::optional<transport::Time> held_since;          // what is read next has waited in the network
-    std::function<void()> left;                         // of a ward
-    std::uint64_t place = 0;                            // in fresh_ or idle_; 0: in neither
-    transport::Deadlines::Handle slow, more;  // a message that does not come whole; one that waits its turn
+    bool asks = false;                          // waits for the other process, or for a ward's end
+    std::uint64_t fed = 0;                      // bytes given to the parser, ever...
+    std::deque<Arrival> arrivals;               // ...and when those came that it has not used yet
+    std::optional<transport::Time> held_since;  // what is read next has waited in the network
+    std::function<void()> left;                 // of a ward
+    std::uint64_t place = 0;                    // in fresh_ or idle_; 0: in neither
+    transport::Deadlines::Handle slow,
+        more;  // a message that does not come whole; one that waits its turn
   };
   using Order = std::map<std::uint64_t, transport::SlotRef>;  // longest there first
 
@@ -100,15 +108,16 @@
 
   Session& begin(transport::SlotRef connection);
   void feed(Session& s, std::string_view bytes);
-  transport::Time arrived(Session& s) const;  // of the last byte of the message just taken from the parser
+  transport::Time arrived(
+      Session& s) const;  // of the last byte of the message just taken from the parser
   bool keeps(transport::SlotRef connection, const Session& s) const;
   void work(transport::SlotRef connection);
   void handle(transport::SlotRef connection, protocol::Message message);
   void take_command(transport::SlotRef connection, protocol::Message message);
   bool give_pipes(HttpCargo& cargo, bool uploads);
   void stretch_patience(stagehinge::Request& request) const;
-  void begin_upload(transport::SlotRef connection, Session& s, std::shared_ptr<streaming::Pipe> upload,
-                    std::string_view first, bool expects);
+  void begin_upload(transport::SlotRef connection, Session& s,
+                    std::shared_ptr<streaming::Pipe> upload, std::string_view first, bool expects);
   void upload_room(transport::SlotRef connection);
   void on_upload(transport::SlotRef connection, Session& s, std::string_view bytes);
   void abort_upload(transport::SlotRef connection, int status, const std::string& why);
@@ -139,9 +148,10 @@
   routing::Router* router_ = nullptr;
   Stage stage_ = Stage::Starting;
   std::map<transport::SlotRef, Session> sessions_;
-  std::map<routing::CommandRef, transport::SlotRef> waiting_;  // commands and the connections they came on
-  Order fresh_;                                                // have not brought a whole request yet
-  Order idle_;                                                 // have, and are between two
+  std::map<routing::CommandRef, transport::SlotRef>
+      waiting_;  // commands and the connections they came on
+  Order fresh_;  // have not brought a whole request yet
+  Order idle_;   // have, and are between two
   std::uint64_t order_ = 0;
   PassOn pass_;
   Forward forward_;
--- a/src/http/http_instances.cpp
+++ b/src/http/http_instances.cpp
@@ -11,44 +11,54 @@
 
 namespace {
 
-bool is_reply(const Message& head) { return head.status == 200; }
+bool is_reply(const Message& head) {
+  return head.status == 200;
+}
 
 constexpr std::size_t kMostIdle = 2;  // pooled connections an instance, for probes and withdrawals
-// How long a submit's last byte is held back on a connection that has come up: an instance that resets
-// connections does so within this of the first bytes.
+// How long a submit's last byte is held back on a connection that has come up: an instance that
+// resets connections does so within this of the first bytes.
 constexpr transport::Duration kHeldBack{3};
 
 }  // namespace
 
 void HttpInstances::update(const protocol::NameList& list) {
   if (list.whole)
-    for (auto& [uid, i] : instances_) i.gone = true;
+    for (auto& [uid, i] : instances_)
+      i.gone = true;
   for (const protocol::Listed& l : list.entries) {
     Instance& i = instances_[l.uid];
     i.gone = l.entry.readiness == stagehinge::Readiness::Gone;
-    // Connections to a process that has been replaced are dead, even where its machine never said so.
+    // Connections to a process that has been replaced are dead, even where its machine never said
+    // so.
     bool moved = !l.address.empty() && l.address != i.address;
     bool replaced = moved || l.entry.online_since != i.online_since;
-    if (replaced) close_pool(i);
+    if (replaced)
+      close_pool(i);
     i.closed |= replaced || l.entry.readiness != stagehinge::Readiness::Ready;
-    if (moved) i.address = l.address;
+    if (moved)
+      i.address = l.address;
     i.online_since = l.entry.online_since;
   }
   for (auto it = instances_.begin(); it != instances_.end();) {
-    if (it->second.gone) it->second.closed = true, close_pool(it->second);
+    if (it->second.gone)
+      it->second.closed = true, close_pool(it->second);
     it = it->second.gone && it->second.attempts == 0 ? instances_.erase(it) : std::next(it);
   }
 }
 
-// Guards the drain rule and cold instances: a connection may come up long after it was asked for, and what
-// goes out with it then is a send of that moment.
+// Guards the drain rule and cold instances: a connection may come up long after it was asked for,
+// and what goes out with it then is a send of that moment.
 void HttpInstances::recall() {
   std::vector<AttemptRef> late;
   for (const auto& [at, c] : calls_)
-    if (c.attempt && c.cargo && instances_.at(c.instance).closed) late.push_back(*c.attempt);
-  for (auto& [uid, i] : instances_) i.closed = false;
+    if (c.attempt && c.cargo && instances_.at(c.instance).closed)
+      late.push_back(*c.attempt);
+  for (auto& [uid, i] : instances_)
+    i.closed = false;
   for (AttemptRef attempt : late) {
-    if (!active_.contains(attempt)) continue;  // an earlier one's end has given it up
+    if (!active_.contains(attempt))
+      continue;  // an earlier one's end has given it up
     give_up(attempt);
     router_->attempt_ended(attempt, Outcome::Void, {});
   }
@@ -57,7 +67,8 @@
 void HttpInstances::submit(AttemptRef attempt, const std::string& instance,
                            std::shared_ptr<const routing::Cargo> cargo, stagehinge::Time ends) {
   auto it = instances_.find(instance);
-  if (it == instances_.end()) return router_->attempt_ended(attempt, Outcome::Unreachable, {});
+  if (it == instances_.end())
+    return router_->attempt_ended(attempt, Outcome::Unreachable, {});
   const auto& http = static_cast<const HttpCargo&>(*cargo);
   // From its first byte; where that has been let go, routing has not asked for this.
   if (cargo->upload && !cargo->upload->rewind())
@@ -67,10 +78,13 @@
   Call c;
   c.kind = Kind::Submit, c.instance = instance, c.attempt = attempt;
   c.reply = cargo->reply, c.cargo = cargo, c.ends = ends;
-  if (streaming_) c.parser.stream(is_reply, streaming_->most_body);
-  if (cargo->upload) c.stream = std::make_unique<Stream>(upload_stream(http));
+  if (streaming_)
+    c.parser.stream(is_reply, streaming_->most_body);
+  if (cargo->upload)
+    c.stream = std::make_unique<Stream>(upload_stream(http));
   if (call(std::move(c), {})) {
-    if (cargo->upload) cargo->upload->begin();
+    if (cargo->upload)
+      cargo->upload->begin();
     return;
   }
   release(attempt);
@@ -86,12 +100,14 @@
     router_->probe_ended(instance, Outcome::Unreachable, {});
 }
 
-// Before the 202 closing the connection gives the attempt up; after it a call of its own does. Guards against
-// a job that runs on beside its next attempt: what says 202 may lie unread, so it is read first (the sockets
-// come first in the next turn), and where an answer has come in part, both are done.
+// Before the 202 closing the connection gives the attempt up; after it a call of its own does.
+// Guards against a job that runs on beside its next attempt: what says 202 may lie unread, so it is
+// read first (the sockets come first in the next turn), and where an answer has come in part, both
+// are done.
 void HttpInstances::withdraw(AttemptRef attempt) {
   auto it = active_.find(attempt);
-  if (it == active_.end()) return;
+  if (it == active_.end())
+    return;
   Active& a = it->second;
   if (a.connection) {
     bool run = begun(attempt);
@@ -106,45 +122,55 @@
     }
     hang_up(*std::exchange(a.connection, std::nullopt));
   }
-  if (!std::exchange(a.withdrawn, true)) tell_withdrawn(attempt);
+  if (!std::exchange(a.withdrawn, true))
+    tell_withdrawn(attempt);
 }
 
-void HttpInstances::give_up(AttemptRef attempt) { hang_up(*release(attempt)->connection); }
+void HttpInstances::give_up(AttemptRef attempt) {
+  hang_up(*release(attempt)->connection);
+}
 
 void HttpInstances::hang_up(SlotRef at) {
   bool streams = calls_.at(at).stream != nullptr;
   drop_call(at);
-  if (streams) on_.network.reset(at);
-  else on_.network.close(at);
+  if (streams)
+    on_.network.reset(at);
+  else
+    on_.network.close(at);
 }
 
-// Until it is written the attempt is still there, and nothing else of the command may go to that instance. So
-// it is tried until it is, or until the attempt is over.
+// Until it is written the attempt is still there, and nothing else of the command may go to that
+// instance. So it is tried until it is, or until the attempt is over.
 void HttpInstances::tell_withdrawn(AttemptRef attempt) {
   auto it = active_.find(attempt);
-  if (it == active_.end()) return;
+  if (it == active_.end())
+    return;
   it->second.again = {};
   Call c;
   c.kind = Kind::Withdraw, c.instance = it->second.instance, c.gives_up = attempt;
   const std::string& address = instances_.at(it->second.instance).address;
-  if (!call(std::move(c), protocol::write_withdraw(it->second.id, address))) tell_again(attempt);
+  if (!call(std::move(c), protocol::write_withdraw(it->second.id, address)))
+    tell_again(attempt);
 }
 
 void HttpInstances::tell_again(AttemptRef attempt) {
   if (auto it = active_.find(attempt); it != active_.end())
-    it->second.again =
-        on_.deadlines.add(on_.clock.now() + times_.probe, [this, attempt] { tell_withdrawn(attempt); });
+    it->second.again = on_.deadlines.add(on_.clock.now() + times_.probe,
+                                         [this, attempt] { tell_withdrawn(attempt); });
 }
 
 void HttpInstances::given_up(Call& c) {
-  if (!c.gives_up) return;
+  if (!c.gives_up)
+    return;
   AttemptRef attempt = *std::exchange(c.gives_up, std::nullopt);
-  if (release(attempt)) router_->attempt_ended(attempt, Outcome::Withdrawn, {});
+  if (release(attempt))
+    router_->attempt_ended(attempt, Outcome::Withdrawn, {});
 }
 
 void HttpInstances::withdraw_job(const std::string& instance, const std::string& id) {
   auto it = instances_.find(instance);
-  if (it == instances_.end()) return;
+  if (it == instances_.end())
+    return;
   Call c;
   c.kind = Kind::Withdraw, c.instance = instance;
   call(std::move(c), protocol::write_withdraw(id, it->second.address));
@@ -165,11 +191,14 @@
 }
 
 void HttpInstances::settled(AttemptRef attempt) {
-  if (!begun(attempt)) return give_up(attempt);  // what ended it was told of an earlier attempt there
+  if (!begun(attempt))
+    return give_up(attempt);  // what ended it was told of an earlier attempt there
   std::optional<Active> a = release(attempt);
-  if (!a || !a->connection) return;
-  // A call-back can overtake the 202: the call goes on without its attempt, so that the connection is kept.
-  // It gets an end of its own now: an instance that never answers must not keep the descriptor.
+  if (!a || !a->connection)
+    return;
+  // A call-back can overtake the 202: the call goes on without its attempt, so that the connection
+  // is kept. It gets an end of its own now: an instance that never answers must not keep the
+  // descriptor.
   Call& c = calls_.at(*a->connection);
   c.attempt.reset();
   c.answer = on_.deadlines.add(on_.clock.now() + times_.probe,
@@ -178,18 +207,21 @@
 
 std::optional<HttpInstances::Active> HttpInstances::release(AttemptRef attempt) {
   auto it = active_.find(attempt);
-  if (it == active_.end()) return std::nullopt;
+  if (it == active_.end())
+    return std::nullopt;
   Active a = std::move(it->second);
   active_.erase(it);
   on_.deadlines.drop(a.again);
-  if (auto i = instances_.find(a.instance); i != instances_.end()) --i->second.attempts;
+  if (auto i = instances_.find(a.instance); i != instances_.end())
+    --i->second.attempts;
   return a;
 }
 
-// Guards commands that must not run twice. What is written to a used connection that has gone stale or silent
-// is lost without a proof, and a new one that does not come up is a proof: so each attempt has a new
-// connection. And an instance begins a request with its last byte, so that one is held back until the
-// connection has shown that it stands: a reset before it proves that the job never began.
+// Guards commands that must not run twice. What is written to a used connection that has gone stale
+// or silent is lost without a proof, and a new one that does not come up is a proof: so each
+// attempt has a new connection. And an instance begins a request with its last byte, so that one is
+// held back until the connection has shown that it stands: a reset before it proves that the job
+// never began.
 bool HttpInstances::call(Call c, std::string bytes) {
   Instance& i = instances_.at(c.instance);
   std::optional<SlotRef> at;
@@ -215,35 +247,42 @@
   }
   // An attempt waits as long as the module lets it; the other calls are ours to end.
   if (c.kind != Kind::Submit)
-    c.answer =
-        on_.deadlines.add(on_.clock.now() + times_.probe, [this, r = *at] { end(r, Outcome::TimedOut); });
-  if (c.attempt) active_.at(*c.attempt).connection = at;
-  if (!fresh) c.bytes = bytes;
+    c.answer = on_.deadlines.add(on_.clock.now() + times_.probe,
+                                 [this, r = *at] { end(r, Outcome::TimedOut); });
+  if (c.attempt)
+    active_.at(*c.attempt).connection = at;
+  if (!fresh)
+    c.bytes = bytes;
   Call& kept = calls_.emplace(*at, std::move(c)).first->second;
-  if (kept.kind == Kind::Submit) return true;  // written when its connection is up
+  if (kept.kind == Kind::Submit)
+    return true;  // written when its connection is up
   on_.network.send(*at, std::move(bytes));
   note_written(*at, kept);
   return true;
 }
 
-// Not before the connection is up: the time that the instance is told is what is left then, but for the last
-// byte's wait.
+// Not before the connection is up: the time that the instance is told is what is left then, but for
+// the last byte's wait.
 void HttpInstances::write_head(SlotRef at, Call& c) {
   const auto& cargo = static_cast<const HttpCargo&>(*c.cargo);
   const std::string& address = instances_.at(c.instance).address;
   stagehinge::Duration left = c.ends - on_.clock.now() - kHeldBack;
-  std::string bytes = c.stream ? protocol::write_submit_head(cargo.command, address, left, cargo.length)
-                               : protocol::write_submit(cargo.command, address, left);
-  if (!c.stream) c.last = bytes.back(), bytes.pop_back();
+  std::string bytes = c.stream
+                          ? protocol::write_submit_head(cargo.command, address, left, cargo.length)
+                          : protocol::write_submit(cargo.command, address, left);
+  if (!c.stream)
+    c.last = bytes.back(), bytes.pop_back();
   c.cargo.reset();
   on_.network.send(at, std::move(bytes));
 }
 
 void HttpInstances::on_connected(SlotRef at) {
   auto it = calls_.find(at);
-  if (it == calls_.end()) return;
+  if (it == calls_.end())
+    return;
   on_.deadlines.drop(it->second.connect);
-  if (it->second.kind != Kind::Submit) return note_written(at, it->second);
+  if (it->second.kind != Kind::Submit)
+    return note_written(at, it->second);
   write_head(at, it->second);
   it->second.commit = on_.deadlines.add(on_.clock.now() + kHeldBack, [this, at] { commit(at); });
   begin_upload(at);
@@ -251,11 +290,13 @@
 
 void HttpInstances::commit(SlotRef at) {
   auto it = calls_.find(at);
-  if (it == calls_.end()) return;
+  if (it == calls_.end())
+    return;
   it->second.commit = {};
-  if (it->second.stream) return commit_upload(at, *it->second.stream);
-  // It may have closed by now: a last byte that meets that is lost without a proof. The sockets come first in
-  // the next turn.
+  if (it->second.stream)
+    return commit_upload(at, *it->second.stream);
+  // It may have closed by now: a last byte that meets that is lost without a proof. The sockets
+  // come first in the next turn.
   if (on_.network.unread(at)) {
     it->second.commit = on_.deadlines.add(on_.clock.now(), [this, at] { commit(at); });
     return;
@@ -265,9 +306,12 @@
 }
 
 void HttpInstances::note_written(SlotRef at, Call& c) {
-  if (c.connect.order != 0 || on_.network.unsent(at) > 0) return;
-  if (c.kind == Kind::Withdraw) return given_up(c);
-  if (c.kind == Kind::Submit && !c.relayed && begun(c)) c.relayed = true, ++on_.figures.relayed;
+  if (c.connect.order != 0 || on_.network.unsent(at) > 0)
+    return;
+  if (c.kind == Kind::Withdraw)
+    return given_up(c);
+  if (c.kind == Kind::Submit && !c.relayed && begun(c))
+    c.relayed = true, ++on_.figures.relayed;
 }
 
 void HttpInstances::on_bytes(SlotRef at, std::string_view bytes) {
@@ -277,12 +321,15 @@
     on_.network.close(at);
     return;
   }
-  if (it->second.stream && it->second.stream->reply) return on_reply(at, bytes);
+  if (it->second.stream && it->second.stream->reply)
+    return on_reply(at, bytes);
   it->second.parser.feed(bytes);
   try {
     while (std::optional<Message> m = it->second.parser.next()) {
-      if (m->streamed) return begin_reply(at, std::move(*m));
-      if (m->status / 100 != 1) return on_message(at, *m);
+      if (m->streamed)
+        return begin_reply(at, std::move(*m));
+      if (m->status / 100 != 1)
+        return on_message(at, *m);
     }
   } catch (const protocol::HttpError& e) {
     on_.log.line("instance", it->second.instance + ": malformed answer: " + e.what());
@@ -310,7 +357,8 @@
     return router_->probe_ended(c.instance, *answer.end, answer.report);
   }
   given_up(c);
-  if (!c.attempt) return;
+  if (!c.attempt)
+    return;
   auto answer = protocol::read_submit_answer(m, on_.words, streaming_.has_value());
   if (never && answer.end != Outcome::Overloaded) {
     on_.log.line("instance", c.instance + ": answered before it had the whole command");
@@ -322,30 +370,35 @@
   }
   release(*c.attempt);
   routing::Reply reply;
-  if (answer.end == Outcome::Success) reply.fields = protocol::content_fields(m.headers), reply.body = m.body;
+  if (answer.end == Outcome::Success)
+    reply.fields = protocol::content_fields(m.headers), reply.body = m.body;
   router_->attempt_ended(*c.attempt, *answer.end, answer.report, std::move(reply));
 }
 
 // A break before the last byte went out proves that the job never began; after it nothing does.
 void HttpInstances::on_closed(SlotRef at, bool all_written) {
   auto it = calls_.find(at);
-  if (it == calls_.end()) return take_from_pool(at);
+  if (it == calls_.end())
+    return take_from_pool(at);
   if (it->second.stream && it->second.stream->reply) {
     it->second.stream->reader.closed();
     it->second.keep = false;
     return it->second.stream->reader.done() ? end_reply(at) : break_reply(at);
   }
   std::optional<Message> last = it->second.parser.at_end();
-  if (last) return on_message(at, *last);
+  if (last)
+    return on_message(at, *last);
   Call c = std::move(it->second);
   drop_call(at);
-  // A used connection may have been closed before it was asked for this: probes and withdrawals may be
-  // repeated.
-  if (std::string again = std::exchange(c.bytes, {}); !again.empty() && instances_.contains(c.instance)) {
+  // A used connection may have been closed before it was asked for this: probes and withdrawals may
+  // be repeated.
+  if (std::string again = std::exchange(c.bytes, {});
+      !again.empty() && instances_.contains(c.instance)) {
     close_pool(instances_.at(c.instance));
     Call once_more;
     once_more.kind = c.kind, once_more.instance = c.instance, once_more.gives_up = c.gives_up;
-    if (call(std::move(once_more), std::move(again))) return;
+    if (call(std::move(once_more), std::move(again)))
+      return;
     return report_end(c, Outcome::Unreachable, {});
   }
   bool may_run = all_written && begun(c);
@@ -355,31 +408,41 @@
 
 void HttpInstances::end(SlotRef at, Outcome outcome) {
   auto it = calls_.find(at);
-  if (it == calls_.end()) return;
+  if (it == calls_.end())
+    return;
   Call c = std::move(it->second);
   bool streams = c.stream != nullptr;
   drop_stream(c);
   drop_call(at);
-  if (streams) on_.network.reset(at);
-  else on_.network.close(at);
-  // Guards jobs that must not run twice: a machine that says nothing may have vanished, and what is written
-  // to its open connections is lost without a proof. A new connection to it fails, and that is one.
+  if (streams)
+    on_.network.reset(at);
+  else
+    on_.network.close(at);
+  // Guards jobs that must not run twice: a machine that says nothing may have vanished, and what is
+  // written to its open connections is lost without a proof. A new connection to it fails, and that
+  // is one.
   bool silent = outcome == Outcome::TimedOut || outcome == Outcome::Unreachable;
-  if (auto i = instances_.find(c.instance); silent && i != instances_.end()) close_pool(i->second);
+  if (auto i = instances_.find(c.instance); silent && i != instances_.end())
+    close_pool(i->second);
   report_end(c, outcome, {});
 }
 
-void HttpInstances::report_end(const Call& c, Outcome outcome, const stagehinge::LoadReport& report) {
-  if (c.kind == Kind::Probe) return router_->probe_ended(c.instance, outcome, report);
-  if (c.gives_up) tell_again(*c.gives_up);
-  if (!c.attempt) return;
+void HttpInstances::report_end(const Call& c, Outcome outcome,
+                               const stagehinge::LoadReport& report) {
+  if (c.kind == Kind::Probe)
+    return router_->probe_ended(c.instance, outcome, report);
+  if (c.gives_up)
+    tell_again(*c.gives_up);
+  if (!c.attempt)
+    return;
   release(*c.attempt);
   router_->attempt_ended(*c.attempt, outcome, report);
 }
 
 void HttpInstances::drop_call(SlotRef at) {
   auto it = calls_.find(at);
-  if (it == calls_.end()) return;
+  if (it == calls_.end())
+    return;
   drop_stream(it->second);
   on_.deadlines.drop(it->second.connect);
   on_.deadlines.drop(it->second.commit);
@@ -387,11 +450,12 @@
   calls_.erase(it);
 }
 
-// Retired well before the instance's machine would close it: a call written to a closed connection ends as
-// broken, and a job that must not run twice is then lost.
+// Retired well before the instance's machine would close it: a call written to a closed connection
+// ends as broken, and a job that must not run twice is then lost.
 void HttpInstances::keep_or_close(SlotRef at, const std::string& instance, bool keep) {
   auto it = instances_.find(instance);
-  if (!keep || it == instances_.end() || it->second.gone) return on_.network.close(at);
+  if (!keep || it == instances_.end() || it->second.gone)
+    return on_.network.close(at);
   if (it->second.idle.size() >= kMostIdle) {  // the latest used are the likeliest to be alive
     SlotRef oldest = it->second.idle.front().connection;
     take_from_pool(oldest);
@@ -407,7 +471,8 @@
 
 void HttpInstances::take_from_pool(SlotRef at) {
   auto it = pooled_.find(at);
-  if (it == pooled_.end()) return;
+  if (it == pooled_.end())
+    return;
   auto& idle = instances_.at(it->second).idle;
   auto found = std::ranges::find(idle, at, &Idle::connection);
   on_.deadlines.drop(found->retire);
--- a/src/http/http_instances.h
+++ b/src/http/http_instances.h
@@ -1,5 +1,5 @@
-// The instance side over HTTP, one call at a time on a connection: each attempt on a new one, withdrawals and
-// probes, which may be repeated, on what those leave.
+// The instance side over HTTP, one call at a time on a connection: each attempt on a new one,
+// withdrawals and probes, which may be repeated, on what those leave.
 #pragma once
 
 #include <map>
@@ -13,7 +13,8 @@
  public:
   struct Times {
     transport::Duration connect{1000};  // to come up
-    transport::Duration idle{2000};     // a pooled connection is used no longer than this after its last call
+    transport::Duration idle{
+        2000};  // a pooled connection is used no longer than this after its last call
     transport::Duration probe{2000};
     bool reports = false;  // probes ask for the load
   };
@@ -22,9 +23,10 @@
 
   void attach(routing::Router& router) { router_ = &router; }
   void retime(Times times) { times_ = times; }
-  void update(const protocol::NameList& list);  // where the instances are; before the module hears of them
-  // After it has: what still waits for a connection to an instance that this list has closed to it ends here,
-  // as never sent.
+  void update(
+      const protocol::NameList& list);  // where the instances are; before the module hears of them
+  // After it has: what still waits for a connection to an instance that this list has closed to it
+  // ends here, as never sent.
   void recall();
 
   void submit(routing::AttemptRef attempt, const std::string& instance,
@@ -34,7 +36,8 @@
   bool begun(routing::AttemptRef attempt) const override;
   void probe(const std::string& instance) override;
   bool taken(routing::AttemptRef attempt) const override;
-  void withdraw_job(const std::string& instance, const std::string& id);  // of an attempt that is not ours
+  void withdraw_job(const std::string& instance,
+                    const std::string& id);  // of an attempt that is not ours
 
   void on_connected(transport::SlotRef connection) override;
   void on_bytes(transport::SlotRef connection, std::string_view bytes) override;
@@ -66,24 +69,26 @@
   struct Call {
     Kind kind = Kind::Submit;
     std::string instance;
-    std::optional<routing::AttemptRef> attempt;   // of a submit that has neither been taken nor ended
+    std::optional<routing::AttemptRef>
+        attempt;  // of a submit that has neither been taken nor ended
     std::optional<routing::AttemptRef> gives_up;  // of a withdrawal that has not been written yet
-    std::string bytes;                            // of a call on a used connection, to be made once more
+    std::string bytes;  // of a call on a used connection, to be made once more
     std::shared_ptr<const routing::Cargo> cargo;  // of a submit whose connection is not up yet...
     stagehinge::Time ends{};                      // ...and when nobody waits for it any more
-    std::string last;                             // of a submit, while it is held back: its last byte
+    std::string last;  // of a submit, while it is held back: its last byte
     protocol::Parser parser{protocol::Parser::Kind::Response};
     std::unique_ptr<Stream> stream;
     std::shared_ptr<streaming::Pipe> reply;  // for one that passes through
     bool relayed = false;                    // written whole, and counted
-    bool taken = false, keep = false;        // answered 202 before its upload was whole; to be kept then
+    bool taken = false, keep = false;  // answered 202 before its upload was whole; to be kept then
     transport::Deadlines::Handle connect, commit, answer;
   };
   struct Active {  // an attempt that has not ended
     std::string instance, id;
     std::optional<transport::SlotRef> connection;  // until the instance has taken it
-    bool withdrawn = false;                        // it has, and is to be told that nobody waits any more
-    transport::Deadlines::Handle again = {};       // of a withdrawal that has to wait, or to be written again
+    bool withdrawn = false;  // it has, and is to be told that nobody waits any more
+    transport::Deadlines::Handle again =
+        {};  // of a withdrawal that has to wait, or to be written again
   };
 
   Stream upload_stream(const HttpCargo& cargo);
@@ -110,7 +115,8 @@
   void note_written(transport::SlotRef connection, Call& call);
   void on_message(transport::SlotRef connection, const protocol::Message& message);
   void end(transport::SlotRef connection, stagehinge::Outcome outcome);  // the call came to nothing
-  void report_end(const Call& call, stagehinge::Outcome outcome, const stagehinge::LoadReport& report);
+  void report_end(const Call& call, stagehinge::Outcome outcome,
+                  const stagehinge::LoadReport& report);
   void drop_call(transport::SlotRef connection);
   void keep_or_close(transport::SlotRef connection, const std::string& instance, bool keep);
   void take_from_pool(transport::SlotRef connection);
--- a/src/http/http_names.h
+++ b/src/http/http_names.h
@@ -20,7 +20,9 @@
   using Changed = std::function<void(stagehinge::ListKind, const protocol::NameList&)>;
   void attach(Changed changed) { changed_ = std::move(changed); }
 
-  void hold(std::int64_t revision) { revision_ = revision; }  // of a list held from before the first watch
+  void hold(std::int64_t revision) {
+    revision_ = revision;
+  }  // of a list held from before the first watch
   void watch() override;
   void move(const std::string& address);  // from now on the watch is kept there
 
--- a/src/http/ops_front.cpp
+++ b/src/http/ops_front.cpp
@@ -22,7 +22,8 @@
 
 void OpsFront::on_bytes(SlotRef at, std::string_view bytes) {
   auto it = callers_.find(at);
-  if (it == callers_.end()) return;
+  if (it == callers_.end())
+    return;
   it->second.parser.feed(bytes);
   try {
     if (auto call = it->second.parser.next()) {
@@ -39,26 +40,31 @@
 
 void OpsFront::respond(SlotRef at, const operations::Answer& answer) {
   forget(at);
-  network_.send(
-      at, protocol::write_response(answer.status, {{"Content-Type", "text/plain"}}, answer.body, false));
+  network_.send(at, protocol::write_response(answer.status, {{"Content-Type", "text/plain"}},
+                                             answer.body, false));
   network_.finish(at);
 }
 
-void OpsFront::on_closed(SlotRef at, bool) { forget(at); }
+void OpsFront::on_closed(SlotRef at, bool) {
+  forget(at);
+}
 
 void OpsFront::forget(SlotRef at) {
   auto it = callers_.find(at);
-  if (it == callers_.end()) return;
+  if (it == callers_.end())
+    return;
   deadlines_.drop(it->second.slow);
   order_.erase(it->second.place);
   callers_.erase(it);
 }
 
-// Guards newcomers against callers that connect and say nothing: a call that is there is answered in the turn
-// it comes, so whoever is still here has been silent or slow, and the one that has been here longest goes.
+// Guards newcomers against callers that connect and say nothing: a call that is there is answered
+// in the turn it comes, so whoever is still here has been silent or slow, and the one that has been
+// here longest goes.
 bool OpsFront::shed_idle() {
   for (auto [place, at] : order_) {
-    if (network_.unread(at)) continue;
+    if (network_.unread(at))
+      continue;
     forget(at);
     network_.close(at);
     return true;
--- a/src/http/ops_front.h
+++ b/src/http/ops_front.h
@@ -1,4 +1,5 @@
-// The operators' address: one call to a connection, on descriptors of its own and before all other sockets.
+// The operators' address: one call to a connection, on descriptors of its own and before all other
+// sockets.
 #pragma once
 
 #include <map>
@@ -12,8 +13,8 @@
 
 class OpsFront final : public transport::Acceptor {
  public:
-  OpsFront(transport::Network& network, transport::Deadlines& deadlines, const transport::Clock& clock,
-           operations::Log& log, operations::Desk& desk)
+  OpsFront(transport::Network& network, transport::Deadlines& deadlines,
+           const transport::Clock& clock, operations::Log& log, operations::Desk& desk)
       : network_(network), deadlines_(deadlines), clock_(clock), log_(log), desk_(desk) {}
 
   void on_accepted(transport::SlotRef connection) override;
--- a/src/http/streams.h
+++ b/src/http/streams.h
@@ -1,5 +1,5 @@
-// What the two HTTP sides share where bodies pass through: the settings, the memory, and how a connection
-// takes what a pipe holds.
+// What the two HTTP sides share where bodies pass through: the settings, the memory, and how a
+// connection takes what a pipe holds.
 #pragma once
 
 #include <memory>
@@ -19,8 +19,8 @@
   std::shared_ptr<streaming::Budget> budget;
 };
 
-// A body is long from here on, in bytes: its connections then stand in the queue of the long ones. A small
-// order whose body did not come with its head must not wait behind those.
+// A body is long from here on, in bytes: its connections then stand in the queue of the long ones.
+// A small order whose body did not come with its head must not wait behind those.
 constexpr std::uint64_t kLong = 64 << 10;
 
 // A pipe's way out: puts a framing on and gives the connection what there is.
@@ -34,20 +34,25 @@
   void let_last_go() { kept_from_ = UINT64_MAX; }
   // What is left is the last byte, of the body or of its framing.
   bool at_last() const { return pipe_->whole() && (pipe_->taken() == kept_from_ || taken_all()); }
-  // Guards the others against a long window that goes out at once: a share of it, the rest in its next turn.
+  // Guards the others against a long window that goes out at once: a share of it, the rest in its
+  // next turn.
   void pump(transport::Network& network, transport::SlotRef at) {
     for (std::size_t moved = 0;;) {
       transport::Slice slice = pipe_->next(static_cast<std::size_t>(
           std::min<std::uint64_t>(SIZE_MAX, kept_from_ - std::min(kept_from_, pipe_->taken()))));
-      if (slice.bytes.empty()) break;
+      if (slice.bytes.empty())
+        break;
       moved += slice.bytes.size();
       writer_.piece(std::move(slice), [&](auto bytes) { network.send(at, std::move(bytes)); });
-      if (network.unsent(at) > kAhead) break;  // the rest waits in the pipe, where the source sees it
-      if (moved < kShare) continue;
+      if (network.unsent(at) > kAhead)
+        break;  // the rest waits in the pipe, where the source sees it
+      if (moved < kShare)
+        continue;
       network.again(at);
       break;
     }
-    if (pipe_->taken() > kLong) network.bulk(at, true);
+    if (pipe_->taken() > kLong)
+      network.bulk(at, true);
     note_written(network, at);
   }
   bool taken_all() const { return pipe_->taken_all(); }
@@ -67,11 +72,13 @@
   std::uint64_t kept_from_ = UINT64_MAX;
 };
 
-// When one side of one direction last moved something, and whether it is that side that is waited for.
+// When one side of one direction last moved something, and whether it is that side that is waited
+// for.
 class Progress {
  public:
   void wait(transport::Time now, bool waited_for) {
-    if (waited_for && !waits_) moved_ = now;
+    if (waited_for && !waits_)
+      moved_ = now;
     waits_ = waited_for;
   }
   void moved(transport::Time now) { moved_ = now; }
--- a/src/operations/calls.h
+++ b/src/operations/calls.h
@@ -17,7 +17,9 @@
   virtual std::string stats() = 0;                       // lines of name=value
   virtual bool cordon(const std::string& instance) = 0;  // false: no such instance is known
   virtual bool uncordon(const std::string& instance) = 0;
-  virtual std::string fleet() const { return {}; }  // this member's view, as JSON; empty: it keeps none
+  virtual std::string fleet() const {
+    return {};
+  }  // this member's view, as JSON; empty: it keeps none
 };
 
 struct Answer {
@@ -26,8 +28,9 @@
 };
 Answer answer_call(const protocol::Message& call, Desk& desk);
 
-// The parameter `name` of a target's query, unescaped. Throws protocol::HttpError 400 where it is missing,
-// empty, given twice or badly escaped: a call that could mean two things must not be guessed.
+// The parameter `name` of a target's query, unescaped. Throws protocol::HttpError 400 where it is
+// missing, empty, given twice or badly escaped: a call that could mean two things must not be
+// guessed.
 std::string query_value(const std::string& target, const std::string& name);
 
 struct Gauges {  // as of now
@@ -39,6 +42,7 @@
   std::optional<Fleet> fleet{};
 };
 // `classes` by the module's numbers; a nameless one is not shown.
-std::string write_stats(const Figures& figures, const std::vector<std::string>& classes, const Gauges& now);
+std::string write_stats(const Figures& figures, const std::vector<std::string>& classes,
+                        const Gauges& now);
 
 }  // namespace oatledge::operations
--- a/src/operations/figures.h
+++ b/src/operations/figures.h
@@ -1,5 +1,5 @@
-// The one set of counters. Each is incremented where the thing happens; whoever shows figures reads them
-// here.
+// The one set of counters. Each is incremented where the thing happens; whoever shows figures reads
+// them here.
 #pragma once
 
 #include <cstdint>
@@ -7,7 +7,8 @@
 
 namespace oatledge::operations {
 
-// Final answers by the command's class. A client that had left by then got none and is counted nowhere.
+// Final answers by the command's class. A client that had left by then got none and is counted
+// nowhere.
 struct Ends {
   std::uint64_t fulfilled = 0;  // served
   std::uint64_t throttled = 0;  // refused: nothing of it has run
@@ -16,11 +17,12 @@
 
 struct Figures {
   Ends& of(std::size_t job_class) {
-    if (job_class >= ends.size()) ends.resize(job_class + 1);
+    if (job_class >= ends.size())
+      ends.resize(job_class + 1);
     return ends[job_class];
   }
-  std::vector<Ends> ends;                           // by the module's number of the class
-  std::uint64_t relayed = 0;                        // attempts whose last byte went out to an instance
+  std::vector<Ends> ends;     // by the module's number of the class
+  std::uint64_t relayed = 0;  // attempts whose last byte went out to an instance
   std::uint64_t cfg_accepted = 0, cfg_invalid = 0;  // files taken and turned down at SIGHUP
 };
 
--- a/src/operations/log.h
+++ b/src/operations/log.h
@@ -1,7 +1,7 @@
-// Lines on standard error, each kind limited in its rate so that a storm of one fault cannot fill the disk or
-// hide the others. Plain ones are `KIND: TEXT`; as JSON each is an object with the time, the dispatcher's name,
-// kind, text, and the ids that the text names, so that one order or member can be followed through many
-// processes (oatledge-lab follow).
+// Lines on standard error, each kind limited in its rate so that a storm of one fault cannot fill
+// the disk or hide the others. Plain ones are `KIND: TEXT`; as JSON each is an object with the
+// time, the dispatcher's name, kind, text, and the ids that the text names, so that one order or
+// member can be followed through many processes (oatledge-lab follow).
 #pragma once
 
 #include <functional>
@@ -20,7 +20,8 @@
   using Sink = std::function<void(const std::string&)>;
   // To standard error. `name`: of this dispatcher, for JSON.
   Log(const transport::Clock& clock, LogFormat format, std::string name);
-  Log(const transport::Clock& clock, Sink sink, LogFormat format = LogFormat::Plain, std::string name = {})
+  Log(const transport::Clock& clock, Sink sink, LogFormat format = LogFormat::Plain,
+      std::string name = {})
       : clock_(clock), sink_(std::move(sink)), format_(format), name_(std::move(name)) {}
 
   // `kind` is the first word of the line and what the limit counts by; the on-call page lists them.
--- a/src/operations/roster.h
+++ b/src/operations/roster.h
@@ -1,6 +1,6 @@
-// Discovery's list as last told, and which instances operators have taken out by hand. What the module sees
-// of an instance that is out is an entry that drains: its rule on drains, with its 500 ms, then holds
-// unchanged.
+// Discovery's list as last told, and which instances operators have taken out by hand. What the
+// module sees of an instance that is out is an entry that drains: its rule on drains, with its 500
+// ms, then holds unchanged.
 #pragma once
 
 #include <map>
@@ -15,16 +15,17 @@
  public:
   // What the module is to hear of discovery's news.
   protocol::NameList apply(const protocol::NameList& news);
-  // Both may come twice. They return what the module is to hear; nothing: no such instance is known, and
-  // nothing is remembered of it.
+  // Both may come twice. They return what the module is to hear; nothing: no such instance is
+  // known, and nothing is remembered of it.
   std::optional<protocol::NameList> cordon(const std::string& uid, stagehinge::Time now);
   std::optional<protocol::NameList> uncordon(const std::string& uid, stagehinge::Time now);
 
   const std::map<std::string, protocol::Listed>& listed() const { return listed_; }
   std::int64_t revision() const { return revision_; }
 
-  // While two processes are this dispatcher, instances that started after `since` get nothing from this one:
-  // it does not know what the other has sent there. Nothing: no more. Returns what the module is to hear.
+  // While two processes are this dispatcher, instances that started after `since` get nothing from
+  // this one: it does not know what the other has sent there. Nothing: no more. Returns what the
+  // module is to hear.
   protocol::NameList hold_cold(std::optional<stagehinge::Time> since);
 
   struct ByHand {
@@ -32,7 +33,8 @@
     std::optional<stagehinge::Time> back;  // of the call back; none: it is out
   };
   const std::map<std::string, ByHand>& by_hand() const { return by_hand_; }
-  protocol::NameList inherit(std::map<std::string, ByHand> by_hand);  // in place of what is known here
+  protocol::NameList inherit(
+      std::map<std::string, ByHand> by_hand);  // in place of what is known here
 
  private:
   protocol::NameList all() const;
--- a/src/program/app.h
+++ b/src/program/app.h
@@ -33,7 +33,8 @@
       transport::Deadlines& deadlines, const transport::Clock& clock, Log& log);
 
   transport::Acceptor& acceptor() { return front_; }
-  void trace();  // from here on, a line in the log for each thing that happens to a command; before start()
+  void trace();  // from here on, a line in the log for each thing that happens to a command; before
+                 // start()
   void talk_to(UdpPeers& peers);  // before start()
   void start();
   void reload(Config next);  // SIGHUP; read against in_force()
@@ -45,20 +46,25 @@
   routing::Router& router() { return router_; }
   operations::Roster& roster() { return roster_; }
   const protocol::Vocabulary& words() const { return config_.words; }
-  void serve(bool on) { serves_ = on; }  // false: another process still does, and this one's health is a no
+  void serve(bool on) {
+    serves_ = on;
+  }  // false: another process still does, and this one's health is a no
   void hear(const protocol::NameList& heard);           // of the roster
   bool by_hand(const std::string& instance, bool out);  // false: unknown
-  // The retry budget over an upgrade, in each window of its own length: what the old process has used of it
-  // is not known to the new one, which may use its free part only after a window; the old one uses none any
-  // more.
+  // The retry budget over an upgrade, in each window of its own length: what the old process has
+  // used of it is not known to the new one, which may use its free part only after a window; the
+  // old one uses none any more.
   enum class Budget { Whole, NoFree, None };
   void limit_budget(Budget to);
   Wards& wards() { return wards_; }
-  using GiveAway = std::function<void(routing::CommandRef)>;  // of what is open when the time to end is over
+  using GiveAway =
+      std::function<void(routing::CommandRef)>;  // of what is open when the time to end is over
   void on_last_call(GiveAway give) { give_away_ = std::move(give); }
   UdpPeers* peers() { return peers_; }
   using TellByHand = std::function<void(const std::string& instance, bool out)>;
-  void on_by_hand(TellByHand tell) { tell_by_hand_ = std::move(tell); }  // calls that were taken here
+  void on_by_hand(TellByHand tell) {
+    tell_by_hand_ = std::move(tell);
+  }  // calls that were taken here
 
   bool healthy() const override;
   std::string stats() override;
--- a/src/program/commands.h
+++ b/src/program/commands.h
@@ -8,7 +8,8 @@
 // A table of what a configuration permits; what in it contradicts itself goes to standard error.
 void show_permits(const Config& config);
 
-// The fleet as the dispatcher with this operators' address holds it. Throws std::runtime_error with one line.
+// The fleet as the dispatcher with this operators' address holds it. Throws std::runtime_error with
+// one line.
 void show_fleet(const std::string& operators, bool json);
 
 }  // namespace oatledge::program
--- a/src/program/main.cpp
+++ b/src/program/main.cpp
@@ -1,5 +1,5 @@
-// One dispatcher: reads its configuration, serves until SIGTERM, ends with 0 once all it had taken is
-// answered.
+// One dispatcher: reads its configuration, serves until SIGTERM, ends with 0 once all it had taken
+// is answered.
 #include <glib-unix.h>
 #include <CLI/CLI.hpp>
 
@@ -21,7 +21,8 @@
 
 using namespace oatledge;
 
-constexpr const char* kLocal = "/oatledge.sock";  // in $TMPDIR, which both processes of an upgrade share
+constexpr const char* kLocal =
+    "/oatledge.sock";  // in $TMPDIR, which both processes of an upgrade share
 
 std::string environment(const char* variable) {
   const char* value = std::getenv(variable);
@@ -29,10 +30,12 @@
 }
 
 std::string read_file(const std::string& path) {
-  if (path.empty()) throw std::runtime_error("ROUTER_CONFIG is not set");
+  if (path.empty())
+    throw std::runtime_error("ROUTER_CONFIG is not set");
   std::ifstream in(path, std::ios::binary);
   std::string text{std::istreambuf_iterator<char>(in), {}};
-  if (!in) throw std::runtime_error("cannot read " + path);
+  if (!in)
+    throw std::runtime_error("cannot read " + path);
   return text;
 }
 
@@ -43,9 +46,9 @@
 
 // Higher at each start, without a disk; a clock that was put back costs one refutation.
 std::uint32_t seconds_of_now() {
-  return static_cast<std::uint32_t>(
-      std::chrono::duration_cast<std::chrono::seconds>(std::chrono::system_clock::now().time_since_epoch())
-          .count());
+  return static_cast<std::uint32_t>(std::chrono::duration_cast<std::chrono::seconds>(
+                                        std::chrono::system_clock::now().time_since_epoch())
+                                        .count());
 }
 
 void mask_signal(int how, int number) {
@@ -68,8 +71,10 @@
 }
 
 // A key is exchanged while the program serves: docs/operations/fleet.md.
-void exchange_keys(const features::Features& features, program::App& app, operations::Log& log) try {
-  if (!features.fleet().has_key_file() || !app.peers()) return;
+void exchange_keys(const features::Features& features, program::App& app,
+                   operations::Log& log) try {
+  if (!features.fleet().has_key_file() || !app.peers())
+    return;
   app.peers()->exchange(fleet::read_keys_file(features.fleet().key_file()));
   log.line("keys", "read again");
 } catch (const fleet::BadKeys& e) {
@@ -78,13 +83,13 @@
 
 void run(const features::Features& features, bool trace, operations::LogFormat format) {
   std::signal(SIGPIPE, SIG_IGN);
-  // Guards a configuration that changes while the program starts: a SIGHUP that comes after the file has been
-  // read and before there is anything to reload waits until there is.
+  // Guards a configuration that changes while the program starts: a SIGHUP that comes after the
+  // file has been read and before there is anything to reload waits until there is.
   mask_signal(SIG_BLOCK, SIGHUP);
   transport::Duration to_steady = wall_to_steady();
   auto read = [&](program::Occasion occasion, const Json::Value& in_force = {}) {
-    return program::read_config(read_file(environment("ROUTER_CONFIG")), environment, to_steady, occasion,
-                                in_force);
+    return program::read_config(read_file(environment("ROUTER_CONFIG")), environment, to_steady,
+                                occasion, in_force);
   };
   program::Config config = read(program::Occasion::Start);
   transport::SteadyClock clock;
@@ -96,7 +101,8 @@
               local = config.ops.empty() || folder.empty() ? "" : folder + kLocal;
   const handover::Who self{config.name, config.listen};
   std::optional<program::Upgrade::Found> found;
-  if (!local.empty()) try {
+  if (!local.empty())
+    try {
       found = program::Upgrade::ask(local, self, log);
     } catch (const std::runtime_error& e) {
       log.line("upgrade", std::string("no other process can take over: ") + e.what());
@@ -108,17 +114,21 @@
     config.known = program::Upgrade::list_of(*found->welcome, config.words);
   }
   program::Shares shares = program::share_descriptors(config);
-  auto complain = [&log](const std::string& text) { log.line("sockets", text); };
+  auto complain = [&log](const std::string& text) {
+    log.line("sockets", text);
+  };
   // Before the other one, so that GLib serves its sockets first in each turn.
   std::optional<transport::GioNetwork> operators;
   if (!config.ops.empty())
-    operators.emplace(loop.context(), deadlines, clock, transport::GioNetwork::Limits{shares.operators, 0},
-                      complain);
-  transport::GioNetwork network(loop.context(), deadlines, clock, {shares.accepted, shares.connected},
-                                complain);
+    operators.emplace(loop.context(), deadlines, clock,
+                      transport::GioNetwork::Limits{shares.operators, 0}, complain);
+  transport::GioNetwork network(loop.context(), deadlines, clock,
+                                {shares.accepted, shares.connected}, complain);
   loop.after_sockets([&network] { return network.serve_bulk(); });
   program::App app(config, features, network, deadlines, clock, log);
-  std::function<void()> terminate = [&app] { app.terminate(); };
+  std::function<void()> terminate = [&app] {
+    app.terminate();
+  };
   // Guards a serving program against a file that is half written or wrong: it goes on as it was.
   std::function<void()> reload = [&] {
     exchange_keys(features, app, log);
@@ -132,13 +142,16 @@
   auto interrupt = on_signal(SIGINT, terminate, loop.context());
   auto hangup = on_signal(SIGHUP, reload, loop.context());
   mask_signal(SIG_UNBLOCK, SIGHUP);
-  if (trace) app.trace();
+  if (trace)
+    app.trace();
   std::optional<fleet::UdpPeers> peers;
   auto talk = [&](program::Inherited from) {
-    if (config.peer_listen.empty() || peers) return;
+    if (config.peer_listen.empty() || peers)
+      return;
     try {
       fleet::UdpPeers::Options options;
-      options.listen = config.peer_listen, options.peers = config.peers, options.self = config.settings.index;
+      options.listen = config.peer_listen, options.peers = config.peers,
+      options.self = config.settings.index;
       options.view = features.has_fleet();
       options.incarnation = from.incarnation ? from.incarnation : seconds_of_now();
       options.known = std::move(from.known);
@@ -148,14 +161,17 @@
       options.seeds.assign(features.fleet().seed().begin(), features.fleet().seed().end());
       options.advertise = features.fleet().advertise();
       options.to_wall = -to_steady;
-      if (features.fleet().has_key_file()) options.keys = fleet::read_keys_file(features.fleet().key_file());
-      peers.emplace(loop.context(), std::move(options), deadlines, clock, log, std::move(from.socket));
+      if (features.fleet().has_key_file())
+        options.keys = fleet::read_keys_file(features.fleet().key_file());
+      peers.emplace(loop.context(), std::move(options), deadlines, clock, log,
+                    std::move(from.socket));
       app.talk_to(*peers);
     } catch (const std::runtime_error& e) {
       log.line("peers", std::string("serves on without news of the others: ") + e.what());
     }
   };
-  if (local.empty()) talk({});  // before the start: what it knows from the beginning is told
+  if (local.empty())
+    talk({});  // before the start: what it knows from the beginning is told
   std::optional<http::OpsFront> ops;
   if (operators) {
     ops.emplace(*operators, deadlines, clock, log, app);
@@ -166,14 +182,16 @@
   if (local.empty()) {
     network.listen(config.listen, app.acceptor(), !config.ops.empty());
   } else {
-    upgrade.emplace(loop.context(),
-                    program::Upgrade::Options{
-                        local, self, shares, to_steady, config.settings.fall_span, config.settings.ramp_time,
-                        config.settings.extra_window.value_or(transport::Duration(0)), talk},
-                    app, network, deadlines, clock, log);
+    upgrade.emplace(
+        loop.context(),
+        program::Upgrade::Options{
+            local, self, shares, to_steady, config.settings.fall_span, config.settings.ramp_time,
+            config.settings.extra_window.value_or(transport::Duration(0)), talk},
+        app, network, deadlines, clock, log);
     upgrade->start(std::move(found));
   }
-  while (!app.finished()) loop.turn();
+  while (!app.finished())
+    loop.turn();
   log.line("stop", "ended");
 }
 
@@ -185,9 +203,11 @@
   bool trace = false;
   line.add_option("--features", path, "the project's own settings, in protobuf text format")
       ->type_name("FILE");
-  line.add_flag("--trace", trace, "log each thing that happens to a command (lab/fleet_table.py reads it)");
+  line.add_flag("--trace", trace,
+                "log each thing that happens to a command (lab/fleet_table.py reads it)");
   std::string format;
-  line.add_option("--log-format", format, "plain or json; goes before log.format of the features file")
+  line.add_option("--log-format", format,
+                  "plain or json; goes before log.format of the features file")
       ->check(CLI::IsMember({"plain", "json"}));
   line.set_version_flag("--version", "oatledge " OATLEDGE_VERSION);
   std::string config_path;
@@ -195,11 +215,13 @@
       line.add_subcommand("check", "say what a file permits and what is wrong with it, and end");
   auto* files = check->add_option_group("files");
   files->add_option("--features", path, "a features file")->type_name("FILE");
-  files->add_option("--config", config_path, "a configuration, as ROUTER_CONFIG names")->type_name("FILE");
+  files->add_option("--config", config_path, "a configuration, as ROUTER_CONFIG names")
+      ->type_name("FILE");
   files->require_option(1, 2);
   std::string ops;
   bool json = false;
-  CLI::App* fleet = line.add_subcommand("fleet", "print who of the fleet a dispatcher holds to be there");
+  CLI::App* fleet =
+      line.add_subcommand("fleet", "print who of the fleet a dispatcher holds to be there");
   fleet->add_option("--ops", ops, "its operators' address")->type_name("ADDRESS")->required();
   fleet->add_flag("--json", json, "as it gives it");
   double every = 0;
@@ -207,14 +229,18 @@
       ->type_name("SECONDS")
       ->check(CLI::Range(0.1, 3600.0));
   unsigned key_id = 0;
-  CLI::App* key = line.add_subcommand("key", "print a fresh key for a key file of the fleet, and end");
+  CLI::App* key =
+      line.add_subcommand("key", "print a fresh key for a key file of the fleet, and end");
   key->add_option("--id", key_id, "its number in the file")->required()->check(CLI::Range(0, 255));
   CLI11_PARSE(line, argc, argv);
   features::Features features;
-  if (!path.empty()) try {
+  if (!path.empty())
+    try {
       features = features::read_features_file(path);
-      // At a start, too: one that cannot be used must not leave a member open to strangers, or alone.
-      if (features.fleet().has_key_file()) fleet::read_keys_file(features.fleet().key_file());
+      // At a start, too: one that cannot be used must not leave a member open to strangers, or
+      // alone.
+      if (features.fleet().has_key_file())
+        fleet::read_keys_file(features.fleet().key_file());
     } catch (const fleet::BadKeys& e) {
       std::fprintf(stderr, "%s\n", e.what());
       return 1;
@@ -223,17 +249,21 @@
       return 1;
     }
   if (!config_path.empty())
-    program::show_permits(program::read_config(read_file(config_path), environment, transport::Duration(0)));
-  if (fleet->parsed()) program::show_fleet(ops, json);
+    program::show_permits(
+        program::read_config(read_file(config_path), environment, transport::Duration(0)));
+  if (fleet->parsed())
+    program::show_fleet(ops, json);
   while (fleet->parsed() && every > 0) {
     std::this_thread::sleep_for(std::chrono::duration<double>(every));
     std::puts("");
     program::show_fleet(ops, json);
     std::fflush(stdout);
   }
-  if (key->parsed()) std::fputs(fleet::new_key(key_id).c_str(), stdout);
+  if (key->parsed())
+    std::fputs(fleet::new_key(key_id).c_str(), stdout);
   if (!check->parsed() && !fleet->parsed() && !key->parsed()) {
-    bool json_lines = format.empty() ? features.log().format() == features::Log::JSON : format == "json";
+    bool json_lines =
+        format.empty() ? features.log().format() == features::Log::JSON : format == "json";
     run(features, trace, json_lines ? operations::LogFormat::Json : operations::LogFormat::Plain);
   }
   return 0;
--- a/src/program/upgrade.cpp
+++ b/src/program/upgrade.cpp
@@ -18,9 +18,13 @@
 constexpr Duration kAskAgain{100};
 constexpr std::size_t kLeastAccepted = 8;  // while the old process holds nearly all there are
 
-double ms(Time t) { return t.time_since_epoch().count(); }
+double ms(Time t) {
+  return t.time_since_epoch().count();
+}
 
-Packet packet_of(const Message& m) { return {m.SerializeAsString(), {}}; }
+Packet packet_of(const Message& m) {
+  return {m.SerializeAsString(), {}};
+}
 
 Message hello_of(const handover::Who& self) {
   Message m;
@@ -35,12 +39,14 @@
   for (const auto& [uid, hand] : roster.by_hand()) {
     handover::ByHand& b = *out.Add();
     b.set_uid(uid), b.set_since(ms(hand.since));
-    if (hand.back) b.set_back(ms(*hand.back));
+    if (hand.back)
+      b.set_back(ms(*hand.back));
   }
 }
 
 std::string name_of(const std::vector<std::string>& names, int index) {
-  return index >= 0 && index < std::ssize(names) ? names[static_cast<std::size_t>(index)] : std::string();
+  return index >= 0 && index < std::ssize(names) ? names[static_cast<std::size_t>(index)]
+                                                 : std::string();
 }
 
 int number_of(const std::vector<std::string>& names, const std::string& name) {
@@ -50,15 +56,18 @@
 
 }  // namespace
 
-std::optional<Upgrade::Found> Upgrade::ask(const std::string& path, const handover::Who& self, Log& log) {
+std::optional<Upgrade::Found> Upgrade::ask(const std::string& path, const handover::Who& self,
+                                           Log& log) {
   Found found;
   found.socket = transport::connect_local(path);
-  if (!found.socket) return std::nullopt;
+  if (!found.socket)
+    return std::nullopt;
   log.line("upgrade", "another process of this dispatcher is here");
   transport::send_packet(found.socket.get(), packet_of(hello_of(self)));
   std::optional<Packet> packet = transport::receive_within(found.socket.get(), kFirstWord);
   Message m;
-  if (!packet || !m.ParseFromString(packet->bytes)) return found;
+  if (!packet || !m.ParseFromString(packet->bytes))
+    return found;
   if (m.has_refusal()) {
     log.line("upgrade", "it turned us away: " + m.refusal().why());
     found.refused = true;
@@ -68,16 +77,20 @@
   return found;
 }
 
-protocol::NameList Upgrade::list_of(const handover::Welcome& welcome, const protocol::Vocabulary& words) {
+protocol::NameList Upgrade::list_of(const handover::Welcome& welcome,
+                                    const protocol::Vocabulary& words) {
   protocol::NameList list{welcome.revision(), true, {}};
   for (const handover::Entry& e : welcome.entries()) {
     protocol::Listed l;
     l.uid = e.uid(), l.address = e.address();
-    l.entry.zone = number_of(words.zones, e.zone()), l.entry.kind = number_of(words.kinds, e.kind());
+    l.entry.zone = number_of(words.zones, e.zone()),
+    l.entry.kind = number_of(words.kinds, e.kind());
     l.entry.cell = e.cell(), l.entry.size = e.size();
     l.entry.readiness = e.ready() ? Readiness::Ready : Readiness::Terminating;
-    if (e.has_online_since()) l.entry.online_since = Time(Duration(e.online_since()));
-    if (!l.uid.empty() && !l.address.empty()) list.entries.push_back(std::move(l));
+    if (e.has_online_since())
+      l.entry.online_since = Time(Duration(e.online_since()));
+    if (!l.uid.empty() && !l.address.empty())
+      list.entries.push_back(std::move(l));
   }
   return list;
 }
@@ -101,7 +114,8 @@
     tell_all(m);
   });
   app_.router().on_taken([this](stagehinge::RequestId id) {
-    if (!(old_ && old_->up()) && !(new_ && new_->up())) return;
+    if (!(old_ && old_->up()) && !(new_ && new_->up()))
+      return;
     Message m;
     m.mutable_taken()->set_id(id);
     tell_all(m);
@@ -111,13 +125,16 @@
 // ---- The new process ----
 
 void Upgrade::start(std::optional<Found> found) {
-  if (!found) return act(heir_.nobody());
-  if (found->refused) return act(heir_.refused());
+  if (!found)
+    return act(heir_.nobody());
+  if (found->refused)
+    return act(heir_.refused());
   app_.serve(false);
   network_.limit({options_.shares.accepted, options_.shares.connected / 2});
   listener_ = std::move(found->listener);
   link_old(std::move(found->socket));
-  if (!found->welcome) return;
+  if (!found->welcome)
+    return;
   inherit(found->welcome->by_hand());
   act(heir_.welcome());
 }
@@ -133,22 +150,30 @@
 
 void Upgrade::from_old(Packet packet) {
   Message m;
-  if (!m.ParseFromString(packet.bytes)) return act(heir_.nonsense());
+  if (!m.ParseFromString(packet.bytes))
+    return act(heir_.nonsense());
   switch (m.what_case()) {
     case Message::kWelcome:
-      if (packet.descriptors.size() != 1) return act(heir_.nonsense());
+      if (packet.descriptors.size() != 1)
+        return act(heir_.nonsense());
       listener_ = std::move(packet.descriptors[0]);
       inherit(m.welcome().by_hand());
       return act(heir_.welcome());
-    case Message::kRefusal: return act(heir_.refused());
-    case Message::kYours: return take_yours(m.yours(), std::move(packet));
-    case Message::kJob: return take_job(m.job(), std::move(packet));
-    case Message::kConnection: return take_connection(m.connection(), std::move(packet));
+    case Message::kRefusal:
+      return act(heir_.refused());
+    case Message::kYours:
+      return take_yours(m.yours(), std::move(packet));
+    case Message::kJob:
+      return take_job(m.job(), std::move(packet));
+    case Message::kConnection:
+      return take_connection(m.connection(), std::move(packet));
     case Message::kTaken:
     case Message::kNews:
     case Message::kNewsTaken:
-    case Message::kCall: return common(old_, m);
-    default: return act(heir_.nonsense());
+    case Message::kCall:
+      return common(old_, m);
+    default:
+      return act(heir_.nonsense());
   }
 }
 
@@ -156,34 +181,45 @@
   Message ready;
   ready.mutable_ready();
   switch (what) {
-    case Heir::Do::Nothing: return;
-    case Heir::Do::SayReady: return tell(old_, ready);
-    case Heir::Do::Serve: return serve();
-    case Heir::Do::ServeAlone: app_.router().elsewhere({}); return serve();
+    case Heir::Do::Nothing:
+      return;
+    case Heir::Do::SayReady:
+      return tell(old_, ready);
+    case Heir::Do::Serve:
+      return serve();
+    case Heir::Do::ServeAlone:
+      app_.router().elsewhere({});
+      return serve();
     case Heir::Do::HangUp:
       log_.line("upgrade", "the other process said what makes no sense");
       old_->hang_up();
       return act(heir_.ended());
-    case Heir::Do::AskAgain: deadlines_.add(clock_.now() + kAskAgain, [this] { ask_again(); }); return;
+    case Heir::Do::AskAgain:
+      deadlines_.add(clock_.now() + kAskAgain, [this] { ask_again(); });
+      return;
   }
 }
 
 // It may have hung up and live: only where nobody listens any more is it dead.
 void Upgrade::ask_again() {
   auto socket = transport::connect_local(options_.path);
-  if (!socket) return act(heir_.nobody());
+  if (!socket)
+    return act(heir_.nobody());
   transport::send_packet(socket.get(), packet_of(hello_of(options_.self)));
   link_old(std::move(socket));
 }
 
 // In the same turn as its health becomes a yes.
 void Upgrade::serve() {
-  if (listener_) network_.share_listener(std::move(listener_), app_.acceptor());
-  if (!network_.listener()) network_.listen(options_.self.listen, app_.acceptor(), true);
+  if (listener_)
+    network_.share_listener(std::move(listener_), app_.acceptor());
+  if (!network_.listener())
+    network_.listen(options_.self.listen, app_.acceptor(), true);
   network_.accept_from_now_on(true);
   app_.serve(true);
   options_.talk(std::move(inherited_));
-  if (!old_ || !old_->up()) old_is_gone();
+  if (!old_ || !old_->up())
+    old_is_gone();
   be_found();
 }
 
@@ -191,42 +227,50 @@
   try {
     found_here_.reset();
     found_here_ = std::make_unique<transport::LocalListener>(
-        context_, options_.path, [this](transport::ObjectPtr<GSocket> socket) { came(std::move(socket)); });
+        context_, options_.path,
+        [this](transport::ObjectPtr<GSocket> socket) { came(std::move(socket)); });
   } catch (const std::runtime_error& e) {
     log_.line("upgrade", std::string("no other process can take over: ") + e.what());
   }
 }
 
-// Guards cold instances: what the old process has sent there counts for one fall span, and is not known here.
+// Guards cold instances: what the old process has sent there counts for one fall span, and is not
+// known here.
 void Upgrade::take_yours(const handover::Yours& yours, Packet packet) {
-  if (!packet.descriptors.empty()) inherited_.socket = std::move(packet.descriptors[0]);
+  if (!packet.descriptors.empty())
+    inherited_.socket = std::move(packet.descriptors[0]);
   inherited_.incarnation = yours.incarnation();
   for (const handover::FleetMember& f : yours.members())
     if (auto who = fleet::parse_endpoint(f.address()); who && f.state() >= 1 && f.state() <= 4)
       inherited_.known.push_back({*who, static_cast<fleet::State>(f.state()), f.incarnation()});
   Heir::Do what = heir_.yours();
-  if (what != Heir::Do::Serve) return act(what);
+  if (what != Heir::Do::Serve)
+    return act(what);
   app_.router().elsewhere({yours.ids().begin(), yours.ids().end()});
   inherit(yours.by_hand());
   app_.hear(app_.roster().hold_cold(clock_.now() - options_.ramp));
   if (options_.budget_window.count() > 0) {
     app_.limit_budget(App::Budget::NoFree);
     deadlines_.add(clock_.now() + options_.budget_window, [this] {
-      if (elder_.state() != Elder::State::Yielded) app_.limit_budget(App::Budget::Whole);
+      if (elder_.state() != Elder::State::Yielded)
+        app_.limit_budget(App::Budget::Whole);
     });
   }
   deadlines_.add(clock_.now() + options_.fall_span, [this] {
-    if (elder_.state() != Elder::State::Yielded) app_.hear(app_.roster().hold_cold(std::nullopt));
+    if (elder_.state() != Elder::State::Yielded)
+      app_.hear(app_.roster().hold_cold(std::nullopt));
   });
   std::size_t theirs = yours.accepted(), all = options_.shares.accepted;
   accepted_limit_ = std::max(kLeastAccepted, all - std::min(all, theirs));
   network_.limit({accepted_limit_, options_.shares.connected / 2});
-  log_.line("upgrade", "takes over; the other process holds " + std::to_string(theirs) + " connections");
+  log_.line("upgrade",
+            "takes over; the other process holds " + std::to_string(theirs) + " connections");
   act(what);
 }
 
 void Upgrade::take_connection(const handover::Connection& connection, Packet packet) {
-  if (packet.descriptors.size() != 1 || heir_.state() != Heir::State::Serving) return act(heir_.nonsense());
+  if (packet.descriptors.size() != 1 || heir_.state() != Heir::State::Serving)
+    return act(heir_.nonsense());
   accepted_limit_ = std::min(accepted_limit_ + 1, options_.shares.accepted);
   network_.limit({accepted_limit_, options_.shares.connected / 2});
   if (auto at = network_.adopt(std::move(packet.descriptors[0])))
@@ -234,13 +278,17 @@
 }
 
 void Upgrade::take_job(const handover::Job& job, Packet packet) {
-  if (packet.descriptors.size() != 1 || heir_.state() != Heir::State::Serving) return act(heir_.nonsense());
-  if (auto at = network_.adopt(std::move(packet.descriptors[0]))) app_.wards().take(job, *at);
+  if (packet.descriptors.size() != 1 || heir_.state() != Heir::State::Serving)
+    return act(heir_.nonsense());
+  if (auto at = network_.adopt(std::move(packet.descriptors[0])))
+    app_.wards().take(job, *at);
 }
 
 void Upgrade::old_is_gone() {
-  for (auto it = asked_.begin(); it != asked_.end();) answered((it++)->first, false);
-  if (heir_.state() != Heir::State::Serving) return;
+  for (auto it = asked_.begin(); it != asked_.end();)
+    answered((it++)->first, false);
+  if (heir_.state() != Heir::State::Serving)
+    return;
   accepted_limit_ = options_.shares.accepted;
   network_.limit({options_.shares.accepted, options_.shares.connected});
 }
@@ -250,7 +298,8 @@
   for (const handover::ByHand& b : by_hand) {
     operations::Roster::ByHand& hand = hands[b.uid()];
     hand.since = Time(Duration(b.since()));
-    if (b.has_back()) hand.back = Time(Duration(b.back()));
+    if (b.has_back())
+      hand.back = Time(Duration(b.back()));
   }
   app_.hear(app_.roster().inherit(std::move(hands)));
 }
@@ -258,7 +307,8 @@
 // ---- The old process ----
 
 void Upgrade::came(transport::ObjectPtr<GSocket> socket) {
-  if (!elder_.free()) return;  // one at a time; it asks again
+  if (!elder_.free())
+    return;  // one at a time; it asks again
   new_ = std::make_unique<transport::LocalLink>(
       context_, std::move(socket), [this](Packet p) { from_new(std::move(p)); },
       [this] { act(elder_.ended()); });
@@ -266,26 +316,34 @@
 
 void Upgrade::from_new(Packet packet) {
   Message m;
-  if (!m.ParseFromString(packet.bytes)) return act(elder_.nonsense());
+  if (!m.ParseFromString(packet.bytes))
+    return act(elder_.nonsense());
   switch (m.what_case()) {
     case Message::kHello:
       return act(elder_.hello(m.hello().version(), {m.hello().name(), m.hello().listen()}));
-    case Message::kReady: return act(elder_.ready());
+    case Message::kReady:
+      return act(elder_.ready());
     case Message::kTaken:
     case Message::kNews:
     case Message::kNewsTaken:
-    case Message::kCall: return common(new_, m);
-    default: return act(elder_.nonsense());
+    case Message::kCall:
+      return common(new_, m);
+    default:
+      return act(elder_.nonsense());
   }
 }
 
 void Upgrade::act(Elder::Do what) {
   Message m;
   switch (what) {
-    case Elder::Do::Nothing: return;
-    case Elder::Do::Welcome: return welcome();
-    case Elder::Do::Yield: return yield();
-    case Elder::Do::TakeBack: return take_back();
+    case Elder::Do::Nothing:
+      return;
+    case Elder::Do::Welcome:
+      return welcome();
+    case Elder::Do::Yield:
+      return yield();
+    case Elder::Do::TakeBack:
+      return take_back();
     case Elder::Do::Refuse:
       m.mutable_refusal()->set_why("another version, or another dispatcher");
       tell(new_, m);
@@ -309,7 +367,8 @@
         e.set_kind(name_of(app_.words().kinds, l.entry.kind));
     e.set_cell(l.entry.cell), e.set_size(l.entry.size);
     e.set_ready(l.entry.readiness == Readiness::Ready);
-    if (l.entry.online_since) e.set_online_since(ms(*l.entry.online_since));
+    if (l.entry.online_since)
+      e.set_online_since(ms(*l.entry.online_since));
   }
   put_by_hand(app_.roster(), *w.mutable_by_hand());
   std::vector<transport::Descriptor> listening;
@@ -323,11 +382,13 @@
   network_.limit({options_.shares.accepted, options_.shares.connected / 2});
   Message m;
   handover::Yours& y = *m.mutable_yours();
-  for (stagehinge::RequestId id : app_.router().ids()) y.add_ids(id);
+  for (stagehinge::RequestId id : app_.router().ids())
+    y.add_ids(id);
   y.set_accepted(static_cast<std::uint32_t>(network_.accepted()));
   put_by_hand(app_.roster(), *y.mutable_by_hand());
   std::vector<transport::Descriptor> datagrams;
-  if (app_.peers()) app_.peers()->speak(false), datagrams.push_back(app_.peers()->descriptor());
+  if (app_.peers())
+    app_.peers()->speak(false), datagrams.push_back(app_.peers()->descriptor());
   if (const fleet::View* view = app_.peers() ? app_.peers()->view() : nullptr) {
     y.set_incarnation(view->incarnation());
     for (const auto& [who, member] : view->members()) {
@@ -337,7 +398,8 @@
     }
   }
   tell(new_, m, std::move(datagrams));
-  if (options_.budget_window.count() > 0) app_.limit_budget(App::Budget::None);
+  if (options_.budget_window.count() > 0)
+    app_.limit_budget(App::Budget::None);
   app_.on_last_call([this](routing::CommandRef ref) { give(ref); });
   app_.hear(app_.roster().hold_cold(clock_.now() - options_.ramp));
   log_.line("upgrade", "yields to the newcomer; " + std::to_string(app_.router().open_commands()) +
@@ -351,19 +413,23 @@
   });
 }
 
-// What an order worker has taken needs nobody who knows how it came there: the new process waits for its end.
+// What an order worker has taken needs nobody who knows how it came there: the new process waits
+// for its end.
 void Upgrade::give(routing::CommandRef ref) {
   std::optional<routing::Router::Given> given = app_.router().look_at(ref);
-  if (!given || !new_ || !new_->up()) return;
+  if (!given || !new_ || !new_->up())
+    return;
   std::optional<HttpFront::Parting> parting = app_.front().part_with(ref);
-  if (!parting) return;
+  if (!parting)
+    return;
   app_.router().give_away(ref);
   given_.insert(given->id);
   Message m;
   handover::Job& job = *m.mutable_job();
   job.set_id(given->id), job.set_name(app_.words().classes.at(given->job_class)),
       job.set_ends(ms(given->ends));
-  for (const std::string& uid : given->instances) job.add_uids(uid);
+  for (const std::string& uid : given->instances)
+    job.add_uids(uid);
   job.mutable_connection()->set_unread(std::move(parting->unread));
   job.set_keep_alive(parting->keep_alive), job.set_old(parting->old);
   std::vector<transport::Descriptor> one;
@@ -373,11 +439,14 @@
 
 void Upgrade::take_back() {
   log_.line("upgrade", "the newcomer is gone; takes connections again");
-  for (auto it = asked_.begin(); it != asked_.end();) answered((it++)->first, false);
+  for (auto it = asked_.begin(); it != asked_.end();)
+    answered((it++)->first, false);
   app_.front().pass_on(nullptr);
   app_.on_last_call(nullptr);
-  if (options_.budget_window.count() > 0) app_.limit_budget(App::Budget::Whole);
-  if (app_.peers()) app_.peers()->speak(true);
+  if (options_.budget_window.count() > 0)
+    app_.limit_budget(App::Budget::Whole);
+  if (app_.peers())
+    app_.peers()->speak(true);
   app_.hear(app_.roster().hold_cold(std::nullopt));
   network_.limit({options_.shares.accepted, options_.shares.connected});
   network_.accept_from_now_on(true);
@@ -387,8 +456,10 @@
 // ---- Both ----
 
 void Upgrade::common(Link& from, const Message& m) {
-  if (m.has_taken()) return app_.router().elsewhere({m.taken().id()});
-  if (m.has_news_taken()) return answered(m.news_taken().number(), !m.news_taken().again());
+  if (m.has_taken())
+    return app_.router().elsewhere({m.taken().id()});
+  if (m.has_news_taken())
+    return answered(m.news_taken().number(), !m.news_taken().again());
   if (m.has_call()) {
     app_.by_hand(m.call().uid(), m.call().out());
     return tell_all(m, &from);
@@ -396,9 +467,11 @@
   bool again = false;
   try {
     protocol::News news = protocol::read_news(m.news().body(), app_.words());
-    // Guards the result of a job that crossed with its call-back: neither process would know it then.
+    // Guards the result of a job that crossed with its call-back: neither process would know it
+    // then.
     again = given_.contains(news.id);
-    if (!again) app_.front().hear(std::move(news));
+    if (!again)
+      app_.front().hear(std::move(news));
   } catch (const protocol::Refused& e) {
     log_.line("upgrade", std::string("a call-back from the other process: ") + e.what());
   }
@@ -410,8 +483,10 @@
 
 bool Upgrade::forward(std::string_view body, std::function<void(bool)> told) {
   Waiting w{0, std::move(told)};
-  for (const Link* link : {&old_, &new_}) w.answers += *link && (*link)->up() ? 1 : 0;
-  if (w.answers == 0) return false;
+  for (const Link* link : {&old_, &new_})
+    w.answers += *link && (*link)->up() ? 1 : 0;
+  if (w.answers == 0)
+    return false;
   Message m;
   m.mutable_news()->set_number(++asked_last_), m.mutable_news()->set_body(std::string(body));
   asked_.emplace(asked_last_, std::move(w));
@@ -421,19 +496,22 @@
 
 void Upgrade::answered(std::uint64_t number, bool taken) {
   auto it = asked_.find(number);
-  if (it == asked_.end() || (taken && --it->second.answers > 0)) return;
+  if (it == asked_.end() || (taken && --it->second.answers > 0))
+    return;
   auto told = std::move(it->second.told);
   asked_.erase(it);
   told(taken);
 }
 
 void Upgrade::tell(Link& link, const Message& m, std::vector<transport::Descriptor> descriptors) {
-  if (link && link->up()) link->send({m.SerializeAsString(), std::move(descriptors)});
+  if (link && link->up())
+    link->send({m.SerializeAsString(), std::move(descriptors)});
 }
 
 void Upgrade::tell_all(const Message& m, const Link* but) {
   for (Link* link : {&old_, &new_})
-    if (link != but) tell(*link, m);
+    if (link != but)
+      tell(*link, m);
 }
 
 }  // namespace oatledge::program
--- a/src/program/upgrade.h
+++ b/src/program/upgrade.h
@@ -1,6 +1,6 @@
-// The other process of this dispatcher during an upgrade: the one that was here before, or the one that comes
-// after. Who takes new jobs is decided by handover::Elder and handover::Heir; this carries it out over local
-// sockets.
+// The other process of this dispatcher during an upgrade: the one that was here before, or the one
+// that comes after. Who takes new jobs is decided by handover::Elder and handover::Heir; this
+// carries it out over local sockets.
 #pragma once
 
 #include <map>
@@ -15,8 +15,8 @@
 
 namespace oatledge::program {
 
-// What one process of a dispatcher has from the other for its talk with the rest of the fleet; nothing in it
-// where there was none.
+// What one process of a dispatcher has from the other for its talk with the rest of the fleet;
+// nothing in it where there was none.
 struct Inherited {
   transport::Descriptor socket;
   std::uint32_t incarnation = 0;
@@ -27,13 +27,15 @@
  public:
   struct Found {  // a process that was here before
     transport::ObjectPtr<GSocket> socket;
-    std::optional<handover::Welcome> welcome;  // none: it has not said a word yet, or turned us away
+    std::optional<handover::Welcome>
+        welcome;  // none: it has not said a word yet, or turned us away
     bool refused = false;
     transport::Descriptor listener;
   };
   // Before there is a loop; nothing: nobody listens at the path. Waits a second at most.
   static std::optional<Found> ask(const std::string& path, const handover::Who& self, Log& log);
-  static protocol::NameList list_of(const handover::Welcome& welcome, const protocol::Vocabulary& words);
+  static protocol::NameList list_of(const handover::Welcome& welcome,
+                                    const protocol::Vocabulary& words);
 
   struct Options {
     std::string path;
@@ -42,14 +44,15 @@
     transport::Duration wall_to_steady{0};
     transport::Duration fall_span{0}, ramp{0};  // of cold instances
     transport::Duration budget_window{0};       // of the retry budget; 0: there is none
-    // Speaks with the other dispatchers from now on; with the other process's socket, where it had one.
+    // Speaks with the other dispatchers from now on; with the other process's socket, where it had
+    // one.
     std::function<void(Inherited)> talk;
   };
   Upgrade(GMainContext* context, Options options, App& app, transport::GioNetwork& network,
           transport::Deadlines& deadlines, const transport::Clock& clock, Log& log);
 
-  // With the one that was found, or alone. Throws std::runtime_error where the clients' address cannot be
-  // had.
+  // With the one that was found, or alone. Throws std::runtime_error where the clients' address
+  // cannot be had.
   void start(std::optional<Found> found);
 
  private:
@@ -99,7 +102,8 @@
   std::unique_ptr<transport::LocalListener> found_here_;
   std::map<std::uint64_t, Waiting> asked_;
   std::uint64_t asked_last_ = 0;
-  std::set<stagehinge::RequestId> given_;  // jobs that the new process has, or will have in a moment
+  std::set<stagehinge::RequestId>
+      given_;  // jobs that the new process has, or will have in a moment
   std::size_t accepted_limit_ = 0;
 };
 
--- a/src/program/wards.cpp
+++ b/src/program/wards.cpp
@@ -34,13 +34,18 @@
 
 bool Wards::hear(const protocol::News& news) {
   auto it = wards_.find(news.id);
-  if (it == wards_.end()) return false;
+  if (it == wards_.end())
+    return false;
   using What = protocol::News::What;
   Ward& w = it->second;
-  if (news.what == What::Started || news.what == What::Progress) return true;
-  if (std::erase(w.instances, news.from) == 0) return true;  // an attempt that was given up before
-  if (news.what == What::Done) answer(news.id, 200, news.result);
-  else if (w.instances.empty()) answer(news.id, 502, kFailed);
+  if (news.what == What::Started || news.what == What::Progress)
+    return true;
+  if (std::erase(w.instances, news.from) == 0)
+    return true;  // an attempt that was given up before
+  if (news.what == What::Done)
+    answer(news.id, 200, news.result);
+  else if (w.instances.empty())
+    answer(news.id, 502, kFailed);
   return true;
 }
 
@@ -57,16 +62,19 @@
 
 void Wards::end(RequestId id) {
   auto it = wards_.find(id);
-  if (it == wards_.end()) return;
+  if (it == wards_.end())
+    return;
   char text[17];
   std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(id));
-  for (const std::string& instance : it->second.instances) instances_.withdraw_job(instance, text);
+  for (const std::string& instance : it->second.instances)
+    instances_.withdraw_job(instance, text);
   on_.deadlines.drop(it->second.ends);
   wards_.erase(it);
 }
 
 void Wards::fail_all() {
-  while (!wards_.empty()) answer(wards_.begin()->first, 502, kFailed);
+  while (!wards_.empty())
+    answer(wards_.begin()->first, 502, kFailed);
 }
 
 }  // namespace oatledge::program
--- a/src/program/wards.h
+++ b/src/program/wards.h
@@ -1,5 +1,6 @@
-// Jobs of the old process that outlive it: an order worker has them and will call back, and their clients
-// wait here. Nothing is left to decide of one: its result is the answer, and any other end is a failure.
+// Jobs of the old process that outlive it: an order worker has them and will call back, and their
+// clients wait here. Nothing is left to decide of one: its result is the answer, and any other end
+// is a failure.
 #pragma once
 
 #include <map>
--- a/src/protocol/body.h
+++ b/src/protocol/body.h
@@ -1,5 +1,5 @@
-// The body of an HTTP/1.1 message, piece by piece: a reader that takes the framing off as bytes come, and a
-// writer that puts one on. Bytes in, bytes out.
+// The body of an HTTP/1.1 message, piece by piece: a reader that takes the framing off as bytes
+// come, and a writer that puts one on. Bytes in, bytes out.
 #pragma once
 
 #include <cstddef>
@@ -20,16 +20,17 @@
   // `length` counts for Framing::Length. A longer body than `most` is an HttpError 413.
   BodyReader(Framing framing, std::uint64_t length, std::uint64_t most);
 
-  // Calls out(bytes) for what belongs to the body and returns how much of `in` is used up: all of it, unless
-  // the body ends before. Chunk extensions and trailers are read over. Throws HttpError.
+  // Calls out(bytes) for what belongs to the body and returns how much of `in` is used up: all of
+  // it, unless the body ends before. Chunk extensions and trailers are read over. Throws HttpError.
   template <class Out>
   std::size_t read(std::string_view in, Out out) {
     std::size_t used = 0;
     while (used < in.size() && !done()) {
       std::string_view rest = in.substr(used);
       if (left_ > 0 || framing_ == Framing::UntilClose) {
-        std::size_t n =
-            framing_ == Framing::UntilClose ? rest.size() : std::min<std::uint64_t>(rest.size(), left_);
+        std::size_t n = framing_ == Framing::UntilClose
+                            ? rest.size()
+                            : std::min<std::uint64_t>(rest.size(), left_);
         count(n);
         out(rest.substr(0, n));
         used += n;
@@ -64,7 +65,8 @@
   explicit BodyWriter(Framing framing) : framing_(framing) {}
   template <class Send>  // send(std::string) and send(Slice)
   void piece(transport::Slice bytes, Send send) const {
-    if (framing_ != Framing::Chunked) return send(std::move(bytes));
+    if (framing_ != Framing::Chunked)
+      return send(std::move(bytes));
     send(chunk_head(bytes.bytes.size()));
     send(std::move(bytes));
     send(std::string("\r\n"));
