--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -6,7 +6,9 @@
 namespace oatledge::protocol {
 namespace {
 
-char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c; }
+char lower(char c) {
+  return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c;
+}
 
 bool is_token(std::string_view s) {
   return !s.empty() && std::ranges::all_of(s, [](char c) {
@@ -20,17 +22,21 @@
 }
 
 std::string_view trim(std::string_view s) {
-  while (!s.empty() && (s.front() == ' ' || s.front() == '\t')) s.remove_prefix(1);
-  while (!s.empty() && (s.back() == ' ' || s.back() == '\t')) s.remove_suffix(1);
+  while (!s.empty() && (s.front() == ' ' || s.front() == '\t'))
+    s.remove_prefix(1);
+  while (!s.empty() && (s.back() == ' ' || s.back() == '\t'))
+    s.remove_suffix(1);
   return s;
 }
 
 bool lists(std::string_view value, std::string_view word) {  // "a, word, b"
   for (bool more = true; more;) {
     std::size_t comma = value.find(',');
-    if (same_name(trim(value.substr(0, comma)), word)) return true;
+    if (same_name(trim(value.substr(0, comma)), word))
+      return true;
     more = comma != std::string_view::npos;
-    if (more) value.remove_prefix(comma + 1);
+    if (more)
+      value.remove_prefix(comma + 1);
   }
   return false;
 }
@@ -38,43 +44,64 @@
 std::optional<std::size_t> whole_number(std::string_view s, int base) {
   std::size_t value = 0;
   auto [end, error] = std::from_chars(s.data(), s.data() + s.size(), value, base);
-  if (s.empty() || error != std::errc() || end != s.data() + s.size()) return std::nullopt;
+  if (s.empty() || error != std::errc() || end != s.data() + s.size())
+    return std::nullopt;
   return value;
 }
 
 const char* reason(int status) {
   switch (status) {
-    case 100: return "Continue";
-    case 200: return "OK";
-    case 204: return "No Content";
-    case 400: return "Bad Request";
-    case 404: return "Not Found";
-    case 405: return "Method Not Allowed";
-    case 408: return "Request Timeout";
-    case 409: return "Conflict";
-    case 413: return "Content Too Large";
-    case 431: return "Request Header Fields Too Large";
-    case 501: return "Not Implemented";
-    case 502: return "Bad Gateway";
-    case 503: return "Service Unavailable";
-    case 505: return "HTTP Version Not Supported";
-    default: return "Status";
+    case 100:
+      return "Continue";
+    case 200:
+      return "OK";
+    case 204:
+      return "No Content";
+    case 400:
+      return "Bad Request";
+    case 404:
+      return "Not Found";
+    case 405:
+      return "Method Not Allowed";
+    case 408:
+      return "Request Timeout";
+    case 409:
+      return "Conflict";
+    case 413:
+      return "Content Too Large";
+    case 431:
+      return "Request Header Fields Too Large";
+    case 501:
+      return "Not Implemented";
+    case 502:
+      return "Bad Gateway";
+    case 503:
+      return "Service Unavailable";
+    case 505:
+      return "HTTP Version Not Supported";
+    default:
+      return "Status";
   }
 }
 
 void write_rest(std::string& out, const Headers& headers, std::string_view body, bool with_length) {
-  for (const auto& [name, value] : headers) out.append(name).append(": ").append(value).append("\r\n");
-  if (with_length) out.append("Content-Length: ").append(std::to_string(body.size())).append("\r\n");
+  for (const auto& [name, value] : headers)
+    out.append(name).append(": ").append(value).append("\r\n");
+  if (with_length)
+    out.append("Content-Length: ").append(std::to_string(body.size())).append("\r\n");
   out.append("\r\n").append(body);
 }
 
 }  // namespace
 
-bool same_name(std::string_view a, std::string_view b) { return std::ranges::equal(a, b, {}, lower, lower); }
+bool same_name(std::string_view a, std::string_view b) {
+  return std::ranges::equal(a, b, {}, lower, lower);
+}
 
 std::string_view Message::header(std::string_view name) const {
   for (const auto& [n, value] : headers)
-    if (same_name(n, name)) return value;
+    if (same_name(n, name))
+      return value;
   return {};
 }
 
@@ -83,47 +110,64 @@
 }
 
 std::optional<Message> Parser::next() {
-  if (stage_ == Stage::Head && !head()) return std::nullopt;
-  // All that has come at once and not chunk by chunk: tiny chunks must not cost the buffer's length each.
-  std::size_t used = body_.read(buffer_, [this](std::string_view bytes) { message_.body += bytes; });
+  if (stage_ == Stage::Head && !head())
+    return std::nullopt;
+  // All that has come at once and not chunk by chunk: tiny chunks must not cost the buffer's length
+  // each.
+  std::size_t used =
+      body_.read(buffer_, [this](std::string_view bytes) { message_.body += bytes; });
   buffer_.erase(0, used);
   bool passes = streams_this_ && (!body_.done() || message_.body.size() > most_body_);
-  if (!passes && !body_.done()) return std::nullopt;
+  if (!passes && !body_.done())
+    return std::nullopt;
   message_.streamed = passes;
   return take();
 }
 
 std::optional<Message> Parser::at_end() {
-  if (stage_ != Stage::Body) return std::nullopt;
+  if (stage_ != Stage::Body)
+    return std::nullopt;
   body_.closed();
-  if (!body_.done()) return std::nullopt;
+  if (!body_.done())
+    return std::nullopt;
   message_.keep_alive = false;
   return take();
 }
 
 std::optional<std::string> Parser::unread() const {
-  if (stage_ == Stage::Head) return buffer_;
-  if (kind_ != Kind::Request || streams_this_ || body_.framing() != Framing::Length || message_.has("Expect"))
+  if (stage_ == Stage::Head)
+    return buffer_;
+  if (kind_ != Kind::Request || streams_this_ || body_.framing() != Framing::Length ||
+      message_.has("Expect"))
     return std::nullopt;
-  std::string text = message_.method + " " + message_.target + (message_.old ? " HTTP/1.0" : " HTTP/1.1");
+  std::string text =
+      message_.method + " " + message_.target + (message_.old ? " HTTP/1.0" : " HTTP/1.1");
   return write_head(text, message_.headers) + message_.body + buffer_;
 }
 
-bool Parser::take_continue() { return std::exchange(expects_, false) && stage_ != Stage::Head; }
+bool Parser::take_continue() {
+  return std::exchange(expects_, false) && stage_ != Stage::Head;
+}
 
-BodyReader Parser::pass() { return std::exchange(body_, {}); }
+BodyReader Parser::pass() {
+  return std::exchange(body_, {});
+}
 
 bool Parser::head() {
-  // Some clients send an empty line after a body. All at once: a flood of them must not cost its length
-  // squared.
+  // Some clients send an empty line after a body. All at once: a flood of them must not cost its
+  // length squared.
   std::size_t empty = 0;
-  while (buffer_.compare(empty, 2, "\r\n") == 0) empty += 2;
+  while (buffer_.compare(empty, 2, "\r\n") == 0)
+    empty += 2;
   buffer_.erase(0, empty);
-  // From a little before what was searched last time: a head that drips in must not cost its length squared.
+  // From a little before what was searched last time: a head that drips in must not cost its length
+  // squared.
   std::size_t end = buffer_.find("\r\n\r\n", scanned_ > 3 ? scanned_ - 3 : 0);
   scanned_ = buffer_.size();
-  if (std::min(end, buffer_.size()) > kMostHead) throw HttpError(431, "head too long");
-  if (end == std::string::npos) return false;
+  if (std::min(end, buffer_.size()) > kMostHead)
+    throw HttpError(431, "head too long");
+  if (end == std::string::npos)
+    return false;
   std::string head = buffer_.substr(0, end + 2);
   buffer_.erase(0, end + 4);
   scanned_ = 0;
@@ -141,26 +185,32 @@
 
 void Parser::start_line(std::string_view line) {
   std::size_t first = line.find(' ');
-  if (!is_text(line) || first == std::string_view::npos) throw HttpError(400, "malformed first line");
+  if (!is_text(line) || first == std::string_view::npos)
+    throw HttpError(400, "malformed first line");
   std::string_view version;
   if (kind_ == Kind::Request) {
     std::size_t last = line.rfind(' ');
     message_.method = line.substr(0, first);
     version = line.substr(last + 1);
-    if (last == first || !is_token(message_.method)) throw HttpError(400, "malformed request line");
+    if (last == first || !is_token(message_.method))
+      throw HttpError(400, "malformed request line");
     message_.target = line.substr(first + 1, last - first - 1);
     // It passes on to instances as it is: what they could not read must not reach them.
     bool plain = std::ranges::all_of(message_.target, [](char c) { return c > ' ' && c < 127; });
-    if (!message_.target.starts_with('/') || !plain) throw HttpError(400, "malformed request target");
+    if (!message_.target.starts_with('/') || !plain)
+      throw HttpError(400, "malformed request target");
   } else {
     version = line.substr(0, first);
     auto status = whole_number(line.substr(first + 1, 3), 10);
     bool ends = line.size() == first + 4 || (line.size() > first + 4 && line[first + 4] == ' ');
-    if (!status || !ends || *status < 100 || *status > 999) throw HttpError(502, "malformed status line");
+    if (!status || !ends || *status < 100 || *status > 999)
+      throw HttpError(502, "malformed status line");
     message_.status = static_cast<int>(*status);
   }
-  if (!version.starts_with("HTTP/")) throw HttpError(400, "not HTTP");
-  if (version != "HTTP/1.1" && version != "HTTP/1.0") throw HttpError(505, "HTTP version not supported");
+  if (!version.starts_with("HTTP/"))
+    throw HttpError(400, "not HTTP");
+  if (version != "HTTP/1.1" && version != "HTTP/1.0")
+    throw HttpError(505, "HTTP version not supported");
   message_.keep_alive = version == "HTTP/1.1";
   message_.old = !message_.keep_alive;
 }
@@ -173,26 +223,33 @@
 }
 
 void Parser::framing() {
-  if (lists(message_.header("Connection"), "keep-alive")) message_.keep_alive = true;
-  if (lists(message_.header("Connection"), "close")) message_.keep_alive = false;
+  if (lists(message_.header("Connection"), "keep-alive"))
+    message_.keep_alive = true;
+  if (lists(message_.header("Connection"), "close"))
+    message_.keep_alive = false;
   std::optional<std::size_t> length;
   bool chunked = false;
   for (const auto& [name, value] : message_.headers) {
     if (same_name(name, "Content-Length")) {
       auto n = whole_number(value, 10);
-      if (!n || length) throw HttpError(400, "malformed Content-Length");
+      if (!n || length)
+        throw HttpError(400, "malformed Content-Length");
       length = n;
     } else if (same_name(name, "Transfer-Encoding")) {
-      if (!same_name(value, "chunked") || chunked) throw HttpError(501, "transfer coding not supported");
+      if (!same_name(value, "chunked") || chunked)
+        throw HttpError(501, "transfer coding not supported");
       chunked = true;
     }
   }
-  // Guards against request smuggling: two framings of one message are two opinions on where the next begins.
-  if (chunked && length) throw HttpError(400, "both Content-Length and Transfer-Encoding");
+  // Guards against request smuggling: two framings of one message are two opinions on where the
+  // next begins.
+  if (chunked && length)
+    throw HttpError(400, "both Content-Length and Transfer-Encoding");
   expects_ = same_name(message_.header("Expect"), "100-continue");
   bool bodiless = message_.status == 204 || message_.status == 304 || message_.status / 100 == 1;
   bool until_close = kind_ == Kind::Response && !length && !chunked && !bodiless;
-  if (bodiless) length = 0, chunked = false;
+  if (bodiless)
+    length = 0, chunked = false;
   streams_this_ = streams_ && streams_(message_);
   body_ = BodyReader(chunked       ? Framing::Chunked
                      : until_close ? Framing::UntilClose
@@ -205,8 +262,10 @@
   stage_ = Stage::Head;
   scanned_ = 0;
   expects_ = false;
-  if (!message_.streamed) body_ = {};
-  if (buffer_.empty()) buffer_.shrink_to_fit();  // an idle connection keeps no 64 KiB
+  if (!message_.streamed)
+    body_ = {};
+  if (buffer_.empty())
+    buffer_.shrink_to_fit();  // an idle connection keeps no 64 KiB
   return std::exchange(message_, {});
 }
 
@@ -229,9 +288,11 @@
   return out;
 }
 
-std::string write_response(int status, const Headers& headers, std::string_view body, bool keep_alive) {
+std::string write_response(int status, const Headers& headers, std::string_view body,
+                           bool keep_alive) {
   std::string out = "HTTP/1.1 " + std::to_string(status) + " " + reason(status) + "\r\n";
-  if (!keep_alive) out += "Connection: close\r\n";
+  if (!keep_alive)
+    out += "Connection: close\r\n";
   write_rest(out, headers, body, status != 204 && status >= 200);
   return out;
 }
--- a/src/protocol/http.h
+++ b/src/protocol/http.h
@@ -1,5 +1,5 @@
-// HTTP/1.1 over bytes alone: an incremental parser for requests and responses, and the writer. No sockets, no
-// clock.
+// HTTP/1.1 over bytes alone: an incremental parser for requests and responses, and the writer. No
+// sockets, no clock.
 #pragma once
 
 #include <cstddef>
@@ -27,8 +27,9 @@
   Headers headers;
   std::string body;
   bool keep_alive = true;
-  bool old = false;       // HTTP/1.0: knows no chunks
-  bool streamed = false;  // only the head and what has come of the body; Parser::pass() has the rest
+  bool old = false;  // HTTP/1.0: knows no chunks
+  bool streamed =
+      false;  // only the head and what has come of the body; Parser::pass() has the rest
 
   // Empty when absent. A header given twice is read as its first.
   std::string_view header(std::string_view name) const;
@@ -44,22 +45,27 @@
  public:
   enum class Kind { Request, Response };
   using Streams = bool (*)(const Message& head);
-  explicit Parser(Kind kind, std::size_t most_body = kMostBody) : kind_(kind), most_body_(most_body) {}
-  // Messages whose head `streams` accepts may have bodies of up to `most` bytes. They come whole from next()
-  // where they are whole already and no longer than an ordinary one, else as a head with `streamed` set.
+  explicit Parser(Kind kind, std::size_t most_body = kMostBody)
+      : kind_(kind), most_body_(most_body) {}
+  // Messages whose head `streams` accepts may have bodies of up to `most` bytes. They come whole
+  // from next() where they are whole already and no longer than an ordinary one, else as a head
+  // with `streamed` set.
   void stream(Streams streams, std::uint64_t most) { streams_ = streams, most_streamed_ = most; }
 
   void feed(std::string_view bytes) { buffer_ += bytes; }
   std::optional<Message> next();    // a whole message, if there is one; throws HttpError
   std::optional<Message> at_end();  // the peer has closed: a response without a length ends here
   bool idle() const { return stage_ == Stage::Head && buffer_.empty(); }
-  // What has come of the next message, to be fed to another parser; nothing where it cannot be told any more
-  // (in the middle of chunks, of a body that passes through, or of one that waits for "100 Continue").
+  // What has come of the next message, to be fed to another parser; nothing where it cannot be told
+  // any more (in the middle of chunks, of a body that passes through, or of one that waits for "100
+  // Continue").
   std::optional<std::string> unread() const;
   std::size_t buffered() const { return buffer_.size(); }
-  bool take_continue();  // once for a head that says "Expect: 100-continue" and whose body is not here yet
+  bool take_continue();  // once for a head that says "Expect: 100-continue" and whose body is not
+                         // here yet
   const BodyReader& passing() const { return body_; }
-  BodyReader pass();  // after a streamed message: reads the rest of its body, then this parser goes on
+  BodyReader
+  pass();  // after a streamed message: reads the rest of its body, then this parser goes on
 
  private:
   enum class Stage { Head, Body };
@@ -86,6 +92,7 @@
                           std::string_view body);
 std::string write_head(const std::string& first_line, const Headers& headers);
 std::string write_response_head(int status, const Headers& headers, bool keep_alive);
-std::string write_response(int status, const Headers& headers, std::string_view body, bool keep_alive);
+std::string write_response(int status, const Headers& headers, std::string_view body,
+                           bool keep_alive);
 
 }  // namespace oatledge::protocol
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -19,20 +19,23 @@
 std::optional<double> decimal(std::string_view text) {
   double value = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (text.empty() || error != std::errc() || end != text.data() + text.size() || !std::isfinite(value))
+  if (text.empty() || error != std::errc() || end != text.data() + text.size() ||
+      !std::isfinite(value))
     return std::nullopt;
   return value;
 }
 
 double need_number(std::string_view text, double low, double high, const char* what) {
   std::optional<double> value = decimal(text);
-  if (!value || *value < low || *value > high) throw Refused(std::string("bad ") + what);
+  if (!value || *value < low || *value > high)
+    throw Refused(std::string("bad ") + what);
   return *value;
 }
 
 std::optional<std::size_t> index_of(const std::vector<std::string>& names, std::string_view name) {
   auto it = std::ranges::find(names, name);
-  if (it == names.end()) return std::nullopt;
+  if (it == names.end())
+    return std::nullopt;
   return static_cast<std::size_t>(it - names.begin());
 }
 
@@ -41,8 +44,8 @@
 stagehinge::RequestId read_id(std::string_view text) {
   stagehinge::RequestId id = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), id, 16);
-  bool lower =
-      std::ranges::none_of(text, [](char c) { return c >= 'A' && c <= 'F'; });  // one text for one id
+  bool lower = std::ranges::none_of(
+      text, [](char c) { return c >= 'A' && c <= 'F'; });  // one text for one id
   if (text.size() != 16 || error != std::errc() || end != text.data() + text.size() || !lower)
     throw Refused("bad X-Correlation-Id");
   return id;
@@ -57,21 +60,29 @@
     std::size_t comma = text.find(',');
     std::string_view pair = text.substr(0, comma);
     text = comma == std::string_view::npos ? std::string_view() : text.substr(comma + 1);
-    while (pair.starts_with(' ')) pair.remove_prefix(1);
-    while (pair.ends_with(' ')) pair.remove_suffix(1);
-    if (pair.empty()) continue;
+    while (pair.starts_with(' '))
+      pair.remove_prefix(1);
+    while (pair.ends_with(' '))
+      pair.remove_suffix(1);
+    if (pair.empty())
+      continue;
     std::size_t equals = pair.find('=');
-    if (equals == std::string_view::npos) throw Refused("a pair has no '='");
+    if (equals == std::string_view::npos)
+      throw Refused("a pair has no '='");
     visit(pair.substr(0, equals), pair.substr(equals + 1));
   }
 }
 
 // The words on the sockets and on the simulator's wire differ for some fields; both are taken.
 std::string_view report_word(std::string_view name) {
-  if (name == "eps") return "fail_rate";
-  if (name == "queue") return "q";
-  if (name == "inflight") return "rif";
-  if (name == "util") return "busy";
+  if (name == "eps")
+    return "fail_rate";
+  if (name == "queue")
+    return "q";
+  if (name == "inflight")
+    return "rif";
+  if (name == "util")
+    return "busy";
   return name;
 }
 
@@ -85,14 +96,17 @@
 }
 
 void add_pair(std::string& pairs, std::string_view name, double value) {
-  if (!std::isfinite(value) || value < 0 || value > 1e9) throw Refused("a load report is out of range");
-  if (!pairs.empty()) pairs += ',';
+  if (!std::isfinite(value) || value < 0 || value > 1e9)
+    throw Refused("a load report is out of range");
+  if (!pairs.empty())
+    pairs += ',';
   pairs.append(report_word(name)).append(":").append(std::to_string(value));
 }
 
 LoadReport read_load_text(std::string_view text, const Vocabulary& words) {
   try {
-    if (text.starts_with("TEXT")) text.remove_prefix(4);
+    if (text.starts_with("TEXT"))
+      text.remove_prefix(4);
     std::string pairs;
     each_pair(text, [&](std::string_view name, std::string_view value) {
       add_pair(pairs, name, need_number(value, 0, 1e9, "load report"));
@@ -104,11 +118,13 @@
 }
 
 LoadReport read_load_json(const Json::Value& load, const Vocabulary& words) {
-  if (!load.isObject()) return {};
+  if (!load.isObject())
+    return {};
   try {
     std::string pairs;
     for (const std::string& name : load.getMemberNames()) {
-      if (!load[name].isNumeric()) throw Refused("a load report's value is no number");
+      if (!load[name].isNumeric())
+        throw Refused("a load report's value is no number");
       add_pair(pairs, name, load[name].asDouble());
     }
     return report_of(pairs, words);
@@ -131,7 +147,8 @@
   Json::Value value;
   std::string errors;
   try {
-    if (reader->parse(text.data(), text.data() + text.size(), &value, &errors)) return value;
+    if (reader->parse(text.data(), text.data() + text.size(), &value, &errors))
+      return value;
   } catch (const Json::Exception& e) {
     throw Refused(std::string("bad JSON: ") + e.what());
   }
@@ -140,7 +157,8 @@
 }
 
 std::string json_text(const Json::Value& object, const char* name) {
-  if (!object.isObject() || !object[name].isString()) throw Refused(std::string("no text \"") + name + '"');
+  if (!object.isObject() || !object[name].isString())
+    throw Refused(std::string("no text \"") + name + '"');
   return object[name].asString();
 }
 
@@ -156,29 +174,37 @@
   // Said twice it could mean either; nobody may later read it the other way.
   for (const char* name :
        {"X-Correlation-Id", "X-Service-Class", "X-Account", "X-Time-Left-Ms", "Idempotency-Key"})
-    if (std::ranges::count_if(m.headers, [&](const auto& h) { return same_name(h.first, name); }) > 1)
+    if (std::ranges::count_if(m.headers, [&](const auto& h) { return same_name(h.first, name); }) >
+        1)
       throw Refused(std::string("repeated ") + name);
   c.id = m.header("X-Correlation-Id");
   c.request.id = read_id(c.id);
   auto job_class = index_of(words.classes, m.header("X-Service-Class"));
-  if (!job_class || words.dropped[*job_class]) throw Refused("unknown X-Service-Class");
+  if (!job_class || words.dropped[*job_class])
+    throw Refused("unknown X-Service-Class");
   c.request.job_class = *job_class;
   auto tenant = index_of(words.tenants, m.header("X-Account"));
-  if (!words.tenants.empty() && !tenant) throw Refused("unknown X-Account");
+  if (!words.tenants.empty() && !tenant)
+    throw Refused("unknown X-Account");
   c.request.tenant = tenant.value_or(0);
-  std::string_view left = m.header("X-Time-Left-Ms");  // whole: "1e9" is a number elsewhere, but not here
-  if (left.find_first_not_of("0123456789") != std::string_view::npos) throw Refused("bad X-Time-Left-Ms");
+  std::string_view left =
+      m.header("X-Time-Left-Ms");  // whole: "1e9" is a number elsewhere, but not here
+  if (left.find_first_not_of("0123456789") != std::string_view::npos)
+    throw Refused("bad X-Time-Left-Ms");
   c.request.patience = Duration(need_number(left, 0, kMostMs, "X-Time-Left-Ms"));
   if (m.has("X-Weight-Hint"))
     c.request.hint =
         Duration(need_number(m.header("X-Weight-Hint"), 0, kMostMs * 1000, "X-Weight-Hint") / 1000);
   each_pair(m.header("X-Facts"), [&](std::string_view name, std::string_view value) {
-    if (name == "slots") c.request.slots = need_number(value, 0, 1e6, "slots");
-    if (name == "memory") c.request.memory = need_number(value, 0, 1e6, "memory");
+    if (name == "slots")
+      c.request.slots = need_number(value, 0, 1e6, "slots");
+    if (name == "memory")
+      c.request.memory = need_number(value, 0, 1e6, "memory");
   });
   c.key = m.header("Idempotency-Key");
   // Without its key no instance could tell a repeat, and the module repeats keyed work.
-  if (words.keyed[*job_class] && c.key.empty()) throw Refused("this class needs an Idempotency-Key");
+  if (words.keyed[*job_class] && c.key.empty())
+    throw Refused("this class needs an Idempotency-Key");
   c.target = std::move(m.target);
   c.body = std::move(m.body);
   return c;
@@ -190,8 +216,10 @@
 
 Headers submit_headers(const ClientCommand& c, const std::string& address, Duration time_left) {
   auto left = static_cast<std::int64_t>(std::max(0.0, std::floor(time_left.count())));
-  Headers headers{{"Host", address}, {"X-Correlation-Id", c.id}, {"X-Time-Left-Ms", std::to_string(left)}};
-  if (!c.key.empty()) headers.emplace_back("Idempotency-Key", c.key);
+  Headers headers{
+      {"Host", address}, {"X-Correlation-Id", c.id}, {"X-Time-Left-Ms", std::to_string(left)}};
+  if (!c.key.empty())
+    headers.emplace_back("Idempotency-Key", c.key);
   return headers;
 }
 
@@ -201,12 +229,14 @@
   return write_request("POST", c.target, submit_headers(c, address, time_left), c.body);
 }
 
-std::string write_submit_head(const ClientCommand& c, const std::string& address, Duration time_left,
-                              std::optional<std::uint64_t> length) {
+std::string write_submit_head(const ClientCommand& c, const std::string& address,
+                              Duration time_left, std::optional<std::uint64_t> length) {
   Headers headers = submit_headers(c, address, time_left);
   headers.insert(headers.end(), c.fields.begin(), c.fields.end());
-  if (length) headers.emplace_back("Content-Length", std::to_string(*length));
-  else headers.emplace_back("Transfer-Encoding", "chunked");
+  if (length)
+    headers.emplace_back("Content-Length", std::to_string(*length));
+  else
+    headers.emplace_back("Transfer-Encoding", "chunked");
   return write_head("POST " + c.target + " HTTP/1.1", headers);
 }
 
@@ -229,7 +259,8 @@
 
 InstanceAnswer read_submit_answer(const Message& m, const Vocabulary& words, bool replies) {
   InstanceAnswer a;
-  if (m.status == 202) return a;
+  if (m.status == 202)
+    return a;
   a.end = replies && m.status == 200 ? Outcome::Success
           : never_ran(m)             ? Outcome::Overloaded
                                      : Outcome::Failure;
@@ -239,7 +270,9 @@
 
 InstanceAnswer read_probe_answer(const Message& m, const Vocabulary& words) {
   InstanceAnswer a;
-  a.end = m.status == 200 ? Outcome::Success : m.status == 503 ? Outcome::Overloaded : Outcome::Failure;
+  a.end = m.status == 200   ? Outcome::Success
+          : m.status == 503 ? Outcome::Overloaded
+                            : Outcome::Failure;
   std::string_view header = m.header("X-Backend-Load");
   if (!header.empty()) {
     a.report = read_load_text(header, words);
@@ -260,13 +293,20 @@
   n.id = read_id(json_text(v, "id")), n.from = json_text(v, "from");
   std::string state = json_text(v, "state");
   using What = News::What;
-  if (state == "started") n.what = What::Started;
-  else if (state == "running") n.what = What::Progress;
-  else if (state == "done") n.what = What::Done, n.result = json_text(v, "result");
-  else if (state == "failed") n.what = What::Failed;
-  else if (state == "returned") n.what = What::Returned;
-  else if (state == "lost") n.what = What::Lost;
-  else throw Refused("unknown state");
+  if (state == "started")
+    n.what = What::Started;
+  else if (state == "running")
+    n.what = What::Progress;
+  else if (state == "done")
+    n.what = What::Done, n.result = json_text(v, "result");
+  else if (state == "failed")
+    n.what = What::Failed;
+  else if (state == "returned")
+    n.what = What::Returned;
+  else if (state == "lost")
+    n.what = What::Lost;
+  else
+    throw Refused("unknown state");
   n.report = read_load_json(v["load"], words);
   return n;
 }
@@ -287,12 +327,15 @@
     l.entry.readiness = state == "up"        ? Readiness::Ready
                         : state == "removed" ? Readiness::Gone
                                              : Readiness::Terminating;
-    auto text = [&](const char* name) { return t[name].isString() ? t[name].asString() : std::string(); };
+    auto text = [&](const char* name) {
+      return t[name].isString() ? t[name].asString() : std::string();
+    };
     auto number = [&](const char* name, double otherwise) {
       return t[name].isNumeric() ? t[name].asDouble() : otherwise;
     };
     l.address = text("endpoint");
-    if (l.uid.empty() || (l.address.empty() && state != "removed")) throw Refused("an entry has no endpoint");
+    if (l.uid.empty() || (l.address.empty() && state != "removed"))
+      throw Refused("an entry has no endpoint");
     auto index = [&](const std::vector<std::string>& names, const char* name) {
       auto i = index_of(names, text(name));
       return i ? static_cast<int>(*i) : -1;
@@ -308,7 +351,8 @@
   return list;
 }
 
-std::string write_watch(std::optional<std::int64_t> after, Duration wait, const std::string& address) {
+std::string write_watch(std::optional<std::int64_t> after, Duration wait,
+                        const std::string& address) {
   std::string target = "/v1/endpoints";
   if (after)
     target += "?index=" + std::to_string(*after) +
--- a/src/protocol/messages.h
+++ b/src/protocol/messages.h
@@ -1,5 +1,5 @@
-// What the messages mean: a service client's command, a call to an instance and its call-back, the name
-// table. Names become the module's indices here and nowhere else.
+// What the messages mean: a service client's command, a call to an instance and its call-back, the
+// name table. Names become the module's indices here and nowhere else.
 #pragma once
 
 #include <json/value.h>
@@ -27,13 +27,15 @@
   std::vector<bool> dropped;                    // by class: new settings name it no more
   std::vector<stagehinge::Duration> deadlines;  // by class
   stagehinge::settings::Columns columns;
-  // A wall-clock start as a time of the module's clock. The distance is read once, at the program's start:
-  // the module takes a changed time for a restart, so the same start must always give the same time.
+  // A wall-clock start as a time of the module's clock. The distance is read once, at the program's
+  // start: the module takes a changed time for a restart, so the same start must always give the
+  // same time.
   std::chrono::duration<double, std::milli> wall_to_steady{0};
 };
 
-Json::Value parse_json(std::string_view text);                       // throws Refused
-std::string json_text(const Json::Value& object, const char* name);  // throws Refused when not a string
+Json::Value parse_json(std::string_view text);  // throws Refused
+std::string json_text(const Json::Value& object,
+                      const char* name);  // throws Refused when not a string
 
 // ---- Service clients ----
 
--- a/src/routing/ports.h
+++ b/src/routing/ports.h
@@ -1,6 +1,6 @@
-// The three narrow interfaces between the decisions and whatever protocol carries them. Nothing here knows
-// HTTP: another protocol for service clients, instances or the name table is another class behind one of
-// these.
+// The three narrow interfaces between the decisions and whatever protocol carries them. Nothing
+// here knows HTTP: another protocol for service clients, instances or the name table is another
+// class behind one of these.
 #pragma once
 
 #include <stagehinge/dispatcher.h>
@@ -22,24 +22,27 @@
 // What a command carries from the client side to the instance side; routing never looks inside.
 struct Cargo {
   virtual ~Cargo() = default;
-  std::shared_ptr<streaming::Pipe> upload;  // the command's body, where it passes through as it comes
-  std::shared_ptr<streaming::Pipe> reply;   // for a reply that does; it owns its memory from the start
+  std::shared_ptr<streaming::Pipe>
+      upload;  // the command's body, where it passes through as it comes
+  std::shared_ptr<streaming::Pipe>
+      reply;  // for a reply that does; it owns its memory from the start
 };
 
 // What an instance made of a command.
 struct Reply {
-  std::string body;                                         // whole, unless `rest` is there
-  std::vector<std::pair<std::string, std::string>> fields;  // of the content: a name and a value each
-  std::optional<std::uint64_t> length;                      // of all of `rest`, where it is known ahead
-  std::shared_ptr<streaming::Pipe> rest;                    // the body as it comes, instead of `body`
+  std::string body;  // whole, unless `rest` is there
+  std::vector<std::pair<std::string, std::string>>
+      fields;                             // of the content: a name and a value each
+  std::optional<std::uint64_t> length;    // of all of `rest`, where it is known ahead
+  std::shared_ptr<streaming::Pipe> rest;  // the body as it comes, instead of `body`
 };
 
 // Each of these is the command's one final answer.
 class ClientSide {
  public:
   virtual ~ClientSide() = default;
-  // A reply that passes through is answered with its first byte. Where it breaks off after that, the client
-  // must be able to tell, and no other answer follows.
+  // A reply that passes through is answered with its first byte. Where it breaks off after that,
+  // the client must be able to tell, and no other answer follows.
   virtual void served(CommandRef command, Reply reply) = 0;
   virtual void nack(CommandRef command, stagehinge::Duration retry_after) = 0;  // 0: no advice
   virtual void failed(CommandRef command) = 0;
@@ -51,15 +54,17 @@
   auto operator<=>(const AttemptRef&) const = default;
 };
 
-// A cargo's upload goes out as it comes. An attempt begins at its instance with its last byte: an end by then
-// is told as Unreachable. How each ends comes back through Router::attempt_ended() or probe_ended(), once.
+// A cargo's upload goes out as it comes. An attempt begins at its instance with its last byte: an
+// end by then is told as Unreachable. How each ends comes back through Router::attempt_ended() or
+// probe_ended(), once.
 class InstanceSide {
  public:
   virtual ~InstanceSide() = default;
-  virtual void submit(AttemptRef attempt, const std::string& instance, std::shared_ptr<const Cargo> cargo,
+  virtual void submit(AttemptRef attempt, const std::string& instance,
+                      std::shared_ptr<const Cargo> cargo,
                       stagehinge::Time ends) = 0;  // when nobody waits for it any more
-  // Gives it up. Its end is Withdrawn once that is done, not only wished for, or what overtakes it; Void
-  // where it had not begun.
+  // Gives it up. Its end is Withdrawn once that is done, not only wished for, or what overtakes it;
+  // Void where it had not begun.
   virtual void withdraw(AttemptRef attempt) = 0;
   virtual void settled(AttemptRef attempt) = 0;      // it ended otherwise: forget it, tell nobody
   virtual bool begun(AttemptRef attempt) const = 0;  // its last byte has been written: it may run
@@ -70,14 +75,17 @@
 class NameTableSide {
  public:
   virtual ~NameTableSide() = default;
-  virtual void watch() = 0;  // from now on; changes and a failure come through Router::names_changed()
+  virtual void
+  watch() = 0;  // from now on; changes and a failure come through Router::names_changed()
 };
 
-// The other dispatchers of the tier. What they have at an instance comes back through Router::peers_have().
+// The other dispatchers of the tier. What they have at an instance comes back through
+// Router::peers_have().
 class PeerSide {
  public:
   virtual ~PeerSide() = default;
-  virtual void have(const std::string& instance, int jobs) = 0;  // so many attempts of ours are there now
+  virtual void have(const std::string& instance,
+                    int jobs) = 0;  // so many attempts of ours are there now
 };
 
 }  // namespace oatledge::routing
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -5,9 +5,11 @@
 namespace oatledge::routing {
 namespace {
 
-constexpr const char* kOutcomes[] = {"success", "failure",   "overloaded", "timed_out", "unreachable",
-                                     "broken",  "withdrawn", "void"};  // in the order of stagehinge::Outcome
-constexpr std::size_t kEndedKept = 4096;  // ids; a quarter of a megabyte, and well over a minute's commands
+constexpr const char* kOutcomes[] = {"success",   "failure",     "overloaded",
+                                     "timed_out", "unreachable", "broken",
+                                     "withdrawn", "void"};  // in the order of stagehinge::Outcome
+constexpr std::size_t kEndedKept =
+    4096;  // ids; a quarter of a megabyte, and well over a minute's commands
 
 }  // namespace
 
@@ -17,8 +19,9 @@
 using stagehinge::LoadReport;
 using stagehinge::Outcome;
 
-Router::Router(const stagehinge::Settings& settings, std::size_t most_commands, const transport::Clock& clock,
-               transport::Deadlines& deadlines, Ports ports, operations::Figures& figures, Log log)
+Router::Router(const stagehinge::Settings& settings, std::size_t most_commands,
+               const transport::Clock& clock, transport::Deadlines& deadlines, Ports ports,
+               operations::Figures& figures, Log log)
     : settings_(settings),
       clock_(clock),
       deadlines_(deadlines),
@@ -29,16 +32,20 @@
 
 void Router::note(const char* what, stagehinge::RequestId id, int attempt, std::string_view text,
                   const char* more) const {
-  if (!trace_) return;
+  if (!trace_)
+    return;
   char head[64];
-  std::snprintf(head, sizeof head, "%s %016llx %d ", what, static_cast<unsigned long long>(id), attempt);
+  std::snprintf(head, sizeof head, "%s %016llx %d ", what, static_cast<unsigned long long>(id),
+                attempt);
   trace_(std::string(head).append(text).append(*more ? " " : "").append(more));
 }
 
-// The module is never entered from inside one of its own actions: what a port reports meanwhile waits here.
+// The module is never entered from inside one of its own actions: what a port reports meanwhile
+// waits here.
 void Router::post(std::function<void()> event) {
   events_.push_back(std::move(event));
-  if (running_) return;
+  if (running_)
+    return;
   running_ = true;
   while (!events_.empty()) {
     auto next = std::move(events_.front());
@@ -49,7 +56,8 @@
 }
 
 void Router::act(std::vector<Action>& actions) {
-  for (const Action& a : actions) carry_out(a);
+  for (const Action& a : actions)
+    carry_out(a);
 }
 
 void Router::start(const std::vector<stagehinge::WorkerEntry>& known) {
@@ -64,14 +72,17 @@
 }
 
 Router::Taking Router::take(NewCommand n, const std::function<void(CommandRef)>& known) {
-  if (by_id_.contains(n.request.id) || elsewhere_.contains(n.request.id)) return Taking::Duplicate;
+  if (by_id_.contains(n.request.id) || elsewhere_.contains(n.request.id))
+    return Taking::Duplicate;
   Command c;
   c.id = n.request.id, c.job_class = n.request.job_class, c.most_attempts = settings_.max_attempts,
   c.cargo = std::move(n.cargo), c.ends = clock_.now() + n.request.patience + n.request.transfer;
   std::optional<CommandRef> ref = table_.insert(std::move(c));
-  if (!ref) return count_nack(n.request.job_class), Taking::Full;
+  if (!ref)
+    return count_nack(n.request.job_class), Taking::Full;
   by_id_[n.request.id] = *ref;
-  if (tell_taken_) tell_taken_(n.request.id);
+  if (tell_taken_)
+    tell_taken_(n.request.id);
   ++open_;
   Command& kept = *table_.find(*ref);
   kept.deadline = deadlines_.add(kept.ends, [this, r = *ref] { time_up(r); });
@@ -91,7 +102,8 @@
 
 void Router::drop_client(CommandRef ref) {
   Command* c = table_.find(ref);
-  if (!c || c->answered) return;
+  if (!c || c->answered)
+    return;
   stagehinge::RequestId id = c->id;
   note("answered", id, -1, "left");
   c->answered = true;
@@ -99,30 +111,37 @@
   std::vector<Action> actions;
   dispatcher_->on_client_gone(clock_.now(), id, actions);
   act(actions);
-  if ((c = table_.find(ref))) close_answered(ref, *c);
+  if ((c = table_.find(ref)))
+    close_answered(ref, *c);
 }
 
 void Router::attempt_ended(AttemptRef ref, Outcome outcome, const LoadReport& report, Reply reply) {
-  post(
-      [=, this, reply = std::move(reply)]() mutable { end_attempt(ref, outcome, report, std::move(reply)); });
+  post([=, this, reply = std::move(reply)]() mutable {
+    end_attempt(ref, outcome, report, std::move(reply));
+  });
 }
 
 void Router::progress(Progress news) {
   post([this, news = std::move(news)]() mutable {
     CommandRef ref;
     Command* c = by_id(news.id, ref);
-    if (!c) return;  // finished or never heard of: calls repeat, and come late
+    if (!c)
+      return;  // finished or never heard of: calls repeat, and come late
     // An instance has one attempt of a command at a time; an earlier one there has ended.
     int attempt = static_cast<int>(c->attempts.size()) - 1;
-    while (attempt >= 0 && !(c->attempts[attempt].open && c->attempts[attempt].instance == news.instance))
+    while (attempt >= 0 &&
+           !(c->attempts[attempt].open && c->attempts[attempt].instance == news.instance))
       --attempt;
-    if (attempt < 0) return;
+    if (attempt < 0)
+      return;
     if (!news.started && !news.progress) {
       ports_.instances.settled({ref, attempt});
-      return end_attempt({ref, attempt}, news.outcome, news.report, {std::move(news.result), {}, {}, {}});
+      return end_attempt({ref, attempt}, news.outcome, news.report,
+                         {std::move(news.result), {}, {}, {}});
     }
     c->attempts[attempt].ran = true;
-    if (news.started) note("started", news.id, attempt, news.instance);
+    if (news.started)
+      note("started", news.id, attempt, news.instance);
     std::vector<Action> actions;
     auto kind = news.started ? stagehinge::NoteKind::Started : stagehinge::NoteKind::Progress;
     dispatcher_->on_note(clock_.now(), news.id, attempt, news.instance, kind, actions);
@@ -139,8 +158,10 @@
   });
 }
 
-void Router::names_changed(stagehinge::ListKind kind, const std::vector<stagehinge::WorkerEntry>& entries) {
-  post([this, kind, &entries] {  // by reference: lists come from sockets and timers, never from an action
+void Router::names_changed(stagehinge::ListKind kind,
+                           const std::vector<stagehinge::WorkerEntry>& entries) {
+  post([this, kind,
+        &entries] {  // by reference: lists come from sockets and timers, never from an action
     std::vector<Action> actions;
     dispatcher_->on_list(clock_.now(), kind, entries, actions);
     act(actions);
@@ -156,54 +177,65 @@
 }
 
 void Router::count(const std::string& instance, int more) {
-  if (!ports_.peers) return;
+  if (!ports_.peers)
+    return;
   int& jobs = at_[instance];
   ports_.peers->have(instance, jobs += more);
-  if (jobs == 0) at_.erase(instance);
+  if (jobs == 0)
+    at_.erase(instance);
 }
 
 std::vector<stagehinge::RequestId> Router::ids() const {
   std::vector<stagehinge::RequestId> all;
-  for (const auto& [id, ref] : by_id_) all.push_back(id);
+  for (const auto& [id, ref] : by_id_)
+    all.push_back(id);
   return all;
 }
 
 std::vector<CommandRef> Router::open_refs() const {
   std::vector<CommandRef> open;
   for (CommandRef ref : table_.refs())
-    if (!table_.find(ref)->answered) open.push_back(ref);
+    if (!table_.find(ref)->answered)
+      open.push_back(ref);
   return open;
 }
 
 std::optional<Router::Given> Router::look_at(CommandRef ref) const {
   const Command* c = table_.find(ref);
-  if (!c || c->answered || c->cargo->upload || c->cargo->reply) return std::nullopt;
+  if (!c || c->answered || c->cargo->upload || c->cargo->reply)
+    return std::nullopt;
   Given g{c->id, c->job_class, c->ends, {}};
   for (int i = 0; i < std::ssize(c->attempts); ++i) {
-    if (!c->attempts[i].open) continue;
-    if (!ports_.instances.taken({ref, i})) return std::nullopt;
+    if (!c->attempts[i].open)
+      continue;
+    if (!ports_.instances.taken({ref, i}))
+      return std::nullopt;
     g.instances.push_back(c->attempts[i].instance);
   }
-  if (g.instances.empty()) return std::nullopt;
+  if (g.instances.empty())
+    return std::nullopt;
   return g;
 }
 
 void Router::give_away(CommandRef ref) {
   post([this, ref] {
     Command* c = table_.find(ref);
-    if (!c || c->answered) return;
+    if (!c || c->answered)
+      return;
     note("answered", c->id, -1, "given");
     c->answered = true;
     --open_;
     for (int i = 0; i < std::ssize(c->attempts); ++i) {
-      if (!std::exchange(c->attempts[i].open, false)) continue;  // the module's cancels then reach nobody
+      if (!std::exchange(c->attempts[i].open, false))
+        continue;  // the module's cancels then reach nobody
       ports_.instances.settled({ref, i});
       count(c->attempts[i].instance, -1);
     }
     std::vector<Action> actions;
     dispatcher_->on_client_gone(clock_.now(), c->id, actions);
     act(actions);
-    if ((c = table_.find(ref))) close_answered(ref, *c);
+    if ((c = table_.find(ref)))
+      close_answered(ref, *c);
   });
 }
 
@@ -218,7 +250,8 @@
   post([this] {
     for (CommandRef ref : table_.refs()) {
       Command* c = table_.find(ref);
-      if (!c || c->answered) continue;
+      if (!c || c->answered)
+        continue;
       answer_unserved(ref, *c);
       drop_client(ref);
     }
@@ -241,12 +274,17 @@
 
 void Router::carry_out(const Action& a) {
   switch (a.kind) {
-    case ActionKind::Send: return send(a);
+    case ActionKind::Send:
+      return send(a);
     case ActionKind::Reject:
-    case ActionKind::Fail: return answer(a);
-    case ActionKind::Cancel: return cancel(a);
-    case ActionKind::Probe: return ports_.instances.probe(std::string(a.worker));
-    case ActionKind::Subscribe: return ports_.names.watch();
+    case ActionKind::Fail:
+      return answer(a);
+    case ActionKind::Cancel:
+      return cancel(a);
+    case ActionKind::Probe:
+      return ports_.instances.probe(std::string(a.worker));
+    case ActionKind::Subscribe:
+      return ports_.names.watch();
     case ActionKind::SetTimer:
       deadlines_.add(a.at, [this] {
         post([this] {
@@ -256,13 +294,15 @@
         });
       });
       return;
-    case ActionKind::Log: return log_(a.text);
+    case ActionKind::Log:
+      return log_(a.text);
   }
 }
 
 Router::Command* Router::by_id(stagehinge::RequestId id, CommandRef& ref) {
   auto it = by_id_.find(id);
-  if (it == by_id_.end()) return nullptr;
+  if (it == by_id_.end())
+    return nullptr;
   ref = it->second;
   return table_.find(ref);
 }
@@ -271,14 +311,17 @@
   CommandRef ref;
   Command* c = by_id(a.id, ref);
   std::string instance(a.worker);
-  if (!c) return post([=, this, id = a.id] { tell_end(id, 0, true, instance, Outcome::Void, {}); });
+  if (!c)
+    return post([=, this, id = a.id] { tell_end(id, 0, true, instance, Outcome::Void, {}); });
   int attempt = static_cast<int>(c->attempts.size());
-  // Past the end, past the deadline or past the last attempt allowed nothing goes out; the module learns it
-  // as the simulator told it.
+  // Past the end, past the deadline or past the last attempt allowed nothing goes out; the module
+  // learns it as the simulator told it.
   bool sent = !c->answered && clock_.now() < c->ends && attempt < c->most_attempts && !spent(*c);
   c->attempts.push_back({instance, sent});
-  if (sent) note("sent", a.id, attempt, instance), count(instance, 1);
-  if (sent) return ports_.instances.submit({ref, attempt}, instance, c->cargo, c->ends);
+  if (sent)
+    note("sent", a.id, attempt, instance), count(instance, 1);
+  if (sent)
+    return ports_.instances.submit({ref, attempt}, instance, c->cargo, c->ends);
   post([=, this, id = a.id, final = c->answered] {
     tell_end(id, attempt, final, instance, Outcome::Void, {});
   });
@@ -287,35 +330,44 @@
 void Router::answer(const Action& a) {
   CommandRef ref;
   Command* c = by_id(a.id, ref);
-  if (!c || c->answered) return;
+  if (!c || c->answered)
+    return;
   c->answered = true;
   --open_;
-  // The module takes an attempt that is out for one that may run. Where none has begun that is a refusal.
+  // The module takes an attempt that is out for one that may run. Where none has begun that is a
+  // refusal.
   bool refused = a.kind == ActionKind::Reject || !may_have_run(ref, *c);
   note("answered", a.id, -1, refused ? "nack" : "failed");
-  if (refused) nack(ref, *c, a.retry_after);
-  else fail(ref, *c);
+  if (refused)
+    nack(ref, *c, a.retry_after);
+  else
+    fail(ref, *c);
   // Later, as the module's cancels of this command's attempts follow among the same actions.
   post([this, ref] {
-    if (Command* done = table_.find(ref)) close_answered(ref, *done);
+    if (Command* done = table_.find(ref))
+      close_answered(ref, *done);
   });
 }
 
 bool Router::may_have_run(CommandRef ref, const Command& c) const {
   for (int i = 0; i < std::ssize(c.attempts); ++i)
-    if (c.attempts[i].ran || (c.attempts[i].open && ports_.instances.begun({ref, i}))) return true;
+    if (c.attempts[i].ran || (c.attempts[i].open && ports_.instances.begun({ref, i})))
+      return true;
   return false;
 }
 
 void Router::answer_unserved(CommandRef ref, Command& c) {
-  if (may_have_run(ref, c)) fail(ref, c);
-  else nack(ref, c, Duration(0));
+  if (may_have_run(ref, c))
+    fail(ref, c);
+  else
+    nack(ref, c, Duration(0));
 }
 
 void Router::cancel(const Action& a) {
   CommandRef ref;
   Command* c = by_id(a.id, ref);
-  if (!c || a.attempt < 0 || a.attempt >= std::ssize(c->attempts) || !c->attempts[a.attempt].open) return;
+  if (!c || a.attempt < 0 || a.attempt >= std::ssize(c->attempts) || !c->attempts[a.attempt].open)
+    return;
   ports_.instances.withdraw({ref, a.attempt});  // it ends when the instance has been told
 }
 
@@ -325,13 +377,16 @@
   Command* c = table_.find(ref.command);
   bool open = c && ref.attempt < std::ssize(c->attempts) && c->attempts[ref.attempt].open;
   bool serves = open && outcome == Outcome::Success && !c->answered;
-  if (reply.rest && !serves) reply.rest->abandon();  // nobody will take it
-  if (!open) return;
+  if (reply.rest && !serves)
+    reply.rest->abandon();  // nobody will take it
+  if (!open)
+    return;
   c->attempts[ref.attempt].open = false;
   c->attempts[ref.attempt].ran |=
       outcome != Outcome::Overloaded && outcome != Outcome::Unreachable && outcome != Outcome::Void;
   count(c->attempts[ref.attempt].instance, -1);
-  note("ended", c->id, ref.attempt, c->attempts[ref.attempt].instance, kOutcomes[static_cast<int>(outcome)]);
+  note("ended", c->id, ref.attempt, c->attempts[ref.attempt].instance,
+       kOutcomes[static_cast<int>(outcome)]);
   if (serves) {
     note("answered", c->id, -1, "served");
     c->answered = true;
@@ -341,28 +396,35 @@
   } else if (!c->answered && spent(*c)) {
     give_up_spent(ref.command, *c, outcome);
   }
-  tell_end(c->id, ref.attempt, c->answered, std::string(c->attempts[ref.attempt].instance), outcome, report);
-  if ((c = table_.find(ref.command))) close_answered(ref.command, *c);
+  tell_end(c->id, ref.attempt, c->answered, std::string(c->attempts[ref.attempt].instance), outcome,
+           report);
+  if ((c = table_.find(ref.command)))
+    close_answered(ref.command, *c);
 }
 
 // A part of its upload has gone out and been let go: it cannot be sent a second time.
-bool Router::spent(const Command& c) const { return c.cargo->upload && !c.cargo->upload->replayable(); }
+bool Router::spent(const Command& c) const {
+  return c.cargo->upload && !c.cargo->upload->replayable();
+}
 
-// The answer comes from here, and the module is told that the command has ended with this attempt: it would
-// otherwise choose another instance for something that is not there any more. A job begins with the last byte
-// of its upload, so the end before that is a refusal that is true, for any class.
+// The answer comes from here, and the module is told that the command has ended with this attempt:
+// it would otherwise choose another instance for something that is not there any more. A job begins
+// with the last byte of its upload, so the end before that is a refusal that is true, for any
+// class.
 void Router::give_up_spent(CommandRef ref, Command& c, Outcome outcome) {
   bool whole = c.cargo->upload->taken_all();
   bool never_began = outcome == Outcome::Unreachable || outcome == Outcome::Overloaded ||
                      (outcome == Outcome::Withdrawn && !whole);
   c.answered = true;
   --open_;
-  if (never_began) nack(ref, c, Duration(0));
-  else fail(ref, c);
+  if (never_began)
+    nack(ref, c, Duration(0));
+  else
+    fail(ref, c);
 }
 
-void Router::tell_end(stagehinge::RequestId id, int attempt, bool final, const std::string& instance,
-                      Outcome outcome, const LoadReport& report) {
+void Router::tell_end(stagehinge::RequestId id, int attempt, bool final,
+                      const std::string& instance, Outcome outcome, const LoadReport& report) {
   stagehinge::AttemptEnd e;
   e.id = id, e.attempt = attempt, e.final = final, e.worker = instance, e.outcome = outcome,
   e.report = report;
@@ -371,24 +433,29 @@
   act(actions);
 }
 
-// The client's time is up: what is out has timed out. The module still owes its answer and usually gave it a
-// moment ago; where it gives none, the client gets a failure and the module is told that the client has left.
+// The client's time is up: what is out has timed out. The module still owes its answer and usually
+// gave it a moment ago; where it gives none, the client gets a failure and the module is told that
+// the client has left.
 void Router::time_up(CommandRef ref) {
   post([this, ref] {
     Command* c = table_.find(ref);
     for (int i = 0; c && i < std::ssize(c->attempts); c = table_.find(ref), ++i)
       if (c && c->attempts[i].open) {
-        // An upload that is still on its way says nothing of its instance, which must not wait for the rest.
+        // An upload that is still on its way says nothing of its instance, which must not wait for
+        // the rest.
         bool unfinished = c->cargo->upload && !c->cargo->upload->taken_all();
         bool begun = !unfinished && ports_.instances.begun({ref, i});
-        if (begun) ports_.instances.settled({ref, i});
-        else ports_.instances.withdraw({ref, i});  // its connection could still come up
+        if (begun)
+          ports_.instances.settled({ref, i});
+        else
+          ports_.instances.withdraw({ref, i});  // its connection could still come up
         Outcome end = unfinished ? Outcome::Withdrawn : begun ? Outcome::TimedOut : Outcome::Void;
         end_attempt({ref, i}, end, {}, {});
       }
     post([this, ref] {
       Command* late = table_.find(ref);
-      if (!late || late->answered) return;
+      if (!late || late->answered)
+        return;
       log_("a command reached its deadline without the module's answer");
       answer_unserved(ref, *late);
       drop_client(ref);
@@ -396,22 +463,27 @@
   });
 }
 
-// Answered and nothing of it out any more: the slot is free for another. An attempt whose connection is still
-// coming up would begin for nobody: it is given up here, also where the settings forbid to cancel what runs.
+// Answered and nothing of it out any more: the slot is free for another. An attempt whose
+// connection is still coming up would begin for nobody: it is given up here, also where the
+// settings forbid to cancel what runs.
 void Router::close_answered(CommandRef ref, Command& c) {
-  if (!c.answered) return;
+  if (!c.answered)
+    return;
   for (int i = 0; i < std::ssize(c.attempts); ++i)
     if (c.attempts[i].open && !ports_.instances.begun({ref, i})) {
       ports_.instances.withdraw({ref, i});
       return end_attempt({ref, i}, Outcome::Void, {}, {});  // which comes back here
     }
   for (const Attempt& a : c.attempts)
-    if (a.open) return;
+    if (a.open)
+      return;
   deadlines_.drop(c.deadline);
-  // Its number finds nothing from now on, but the id stays known for a while: each command has a new one, and
-  // whoever uses one again while its first bearer has just ended must not have that run a second time.
+  // Its number finds nothing from now on, but the id stays known for a while: each command has a
+  // new one, and whoever uses one again while its first bearer has just ended must not have that
+  // run a second time.
   ended_.push_back(c.id);
-  if (ended_.size() > kEndedKept) by_id_.erase(ended_.front()), ended_.pop_front();
+  if (ended_.size() > kEndedKept)
+    by_id_.erase(ended_.front()), ended_.pop_front();
   table_.erase(ref);
 }
 
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -1,7 +1,7 @@
-// The command table between the ports and the decision module. It turns events into calls of the Dispatcher
-// and the Dispatcher's actions into calls of the ports, and keeps the promises that the simulator kept for
-// the module: one end for each send, time-outs at the client's deadline, and the first success straight to
-// the client.
+// The command table between the ports and the decision module. It turns events into calls of the
+// Dispatcher and the Dispatcher's actions into calls of the ports, and keeps the promises that the
+// simulator kept for the module: one end for each send, time-outs at the client's deadline, and the
+// first success straight to the client.
 #pragma once
 
 #include <deque>
@@ -39,32 +39,37 @@
   };
   using Log = std::function<void(const std::string&)>;
 
-  Router(const stagehinge::Settings& settings, std::size_t most_commands, const transport::Clock& clock,
-         transport::Deadlines& deadlines, Ports ports, operations::Figures& figures, Log log);
+  Router(const stagehinge::Settings& settings, std::size_t most_commands,
+         const transport::Clock& clock, transport::Deadlines& deadlines, Ports ports,
+         operations::Figures& figures, Log log);
 
   // Starts the decisions on the list as last held.
   void start(const std::vector<stagehinge::WorkerEntry>& known);
 
-  // `known` learns the command's number before anything is decided: its answer may come inside this very
-  // call.
+  // `known` learns the command's number before anything is decided: its answer may come inside this
+  // very call.
   enum class Taking { Taken, Full, Duplicate };
   Taking take(NewCommand command, const std::function<void(CommandRef)>& known);
   void client_gone(CommandRef command);
-  void attempt_ended(AttemptRef attempt, stagehinge::Outcome outcome, const stagehinge::LoadReport& report,
-                     Reply reply = {});
+  void attempt_ended(AttemptRef attempt, stagehinge::Outcome outcome,
+                     const stagehinge::LoadReport& report, Reply reply = {});
   void progress(Progress news);
   void probe_ended(const std::string& instance, stagehinge::Outcome outcome,
                    const stagehinge::LoadReport& report);
-  void names_changed(stagehinge::ListKind kind, const std::vector<stagehinge::WorkerEntry>& entries);
+  void names_changed(stagehinge::ListKind kind,
+                     const std::vector<stagehinge::WorkerEntry>& entries);
   void peers_have(const std::string& instance, int jobs);
   void retune(const stagehinge::Settings& settings);  // for the commands to come
-  // The other process of this dispatcher, during an upgrade: what it has open, or had a moment ago, is as
-  // good as known here.
-  void elsewhere(const std::vector<stagehinge::RequestId>& ids) { elsewhere_.insert(ids.begin(), ids.end()); }
+  // The other process of this dispatcher, during an upgrade: what it has open, or had a moment ago,
+  // is as good as known here.
+  void elsewhere(const std::vector<stagehinge::RequestId>& ids) {
+    elsewhere_.insert(ids.begin(), ids.end());
+  }
   bool knows(stagehinge::RequestId id) const { return by_id_.contains(id); }
   std::vector<stagehinge::RequestId> ids() const;  // open here, or a moment ago
-  // A command that another process goes on with, to its answer: nobody is told anything of it here. What is
-  // to know of it, or nothing where that cannot be: it is over, or an attempt is not out, or not yet taken.
+  // A command that another process goes on with, to its answer: nobody is told anything of it here.
+  // What is to know of it, or nothing where that cannot be: it is over, or an attempt is not out,
+  // or not yet taken.
   struct Given {
     stagehinge::RequestId id = 0;
     std::size_t job_class = 0;
@@ -78,12 +83,14 @@
   void fail_all();  // the program must end: what is still open gets its answer now
 
   void talk_to(PeerSide& peers) { ports_.peers = &peers; }  // before start()
-  // A line for each thing that happens to a command, for lab/fleet_table.py; the one log that grows with
-  // traffic.
+  // A line for each thing that happens to a command, for lab/fleet_table.py; the one log that grows
+  // with traffic.
   void trace(Log trace) { trace_ = std::move(trace); }
 
   std::size_t open_commands() const { return open_; }
-  bool avoids(const std::string& instance) const { return dispatcher_ && dispatcher_->avoids(instance); }
+  bool avoids(const std::string& instance) const {
+    return dispatcher_ && dispatcher_->avoids(instance);
+  }
   // Of a command that was taken off the sockets and never came this far.
   void count_nack(std::size_t job_class) { ++figures_.of(job_class).throttled; }
 
@@ -111,10 +118,11 @@
   void send(const stagehinge::Action& action);
   void answer(const stagehinge::Action& action);
   void cancel(const stagehinge::Action& action);
-  void end_attempt(AttemptRef ref, stagehinge::Outcome outcome, const stagehinge::LoadReport& report,
-                   Reply reply);
+  void end_attempt(AttemptRef ref, stagehinge::Outcome outcome,
+                   const stagehinge::LoadReport& report, Reply reply);
   bool may_have_run(CommandRef ref, const Command& c) const;
-  void answer_unserved(CommandRef ref, Command& c);  // failed, or refused where nothing of it has begun
+  void answer_unserved(CommandRef ref,
+                       Command& c);  // failed, or refused where nothing of it has begun
   bool spent(const Command& c) const;
   void give_up_spent(CommandRef ref, Command& c, stagehinge::Outcome outcome);
   void tell_end(stagehinge::RequestId id, int attempt, bool final, const std::string& instance,
@@ -134,7 +142,8 @@
   operations::Figures& figures_;
   Log log_, trace_;
   mutable transport::SlotTable<Command> table_;
-  std::unordered_map<stagehinge::RequestId, CommandRef> by_id_;  // also of commands that ended a moment ago
+  std::unordered_map<stagehinge::RequestId, CommandRef>
+      by_id_;  // also of commands that ended a moment ago
   std::unordered_set<stagehinge::RequestId> elsewhere_;
   std::function<void(stagehinge::RequestId)> tell_taken_;
   std::deque<stagehinge::RequestId> ended_;  // the ids of those, the longest ended first
--- a/src/settings/faults.h
+++ b/src/settings/faults.h
@@ -12,11 +12,15 @@
  public:
   explicit Faults(const std::string& name) : name_(name) {}
   void AddError(int line, int column, const std::string& what) override {
-    if (!text_.empty()) text_ += '\n';
-    text_ += name_ + ':' + std::to_string(line + 1) + ':' + std::to_string(column + 1) + ": " + what;
+    if (!text_.empty())
+      text_ += '\n';
+    text_ +=
+        name_ + ':' + std::to_string(line + 1) + ':' + std::to_string(column + 1) + ": " + what;
   }
   // A warning is an error here: what somebody wrote and nobody reads is a mistake.
-  void AddWarning(int line, int column, const std::string& what) override { AddError(line, column, what); }
+  void AddWarning(int line, int column, const std::string& what) override {
+    AddError(line, column, what);
+  }
   const std::string& text() const { return text_; }
 
  private:
--- a/src/settings/permits.h
+++ b/src/settings/permits.h
@@ -1,5 +1,5 @@
-// What a deployment's settings permit and forbid, in words, and what in them contradicts itself: for whoever
-// brings up a deployment. Says, decides nothing.
+// What a deployment's settings permit and forbid, in words, and what in them contradicts itself:
+// for whoever brings up a deployment. Says, decides nothing.
 #pragma once
 
 #include <stagehinge/dispatcher.h>
@@ -21,7 +21,8 @@
 // A table for people, several lines, each ended. Times are in milliseconds.
 std::string describe(const stagehinge::Settings& settings, const Place& place);
 
-// One line each, without an end; none where nothing contradicts itself. All of it can be worked with.
+// One line each, without an end; none where nothing contradicts itself. All of it can be worked
+// with.
 std::vector<std::string> contradictions(const stagehinge::Settings& settings, const Place& place);
 
 }  // namespace oatledge::settings
--- a/src/settings/reader.h
+++ b/src/settings/reader.h
@@ -1,6 +1,6 @@
-// The settings as path=value pairs, and the load reports whose columns they name. Read in this one place for
-// the simulator's wire and for the real dispatcher's configuration, so that both fill the same
-// stagehinge::Settings.
+// The settings as path=value pairs, and the load reports whose columns they name. Read in this one
+// place for the simulator's wire and for the real dispatcher's configuration, so that both fill the
+// same stagehinge::Settings.
 #pragma once
 
 #include <stagehinge/dispatcher.h>
@@ -23,7 +23,8 @@
 Number parse_number(std::string_view text) {
   Number value{};
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (error != std::errc() || end != text.data() + text.size()) throw Malformed("not a number");
+  if (error != std::errc() || end != text.data() + text.size())
+    throw Malformed("not a number");
   return value;
 }
 
@@ -39,7 +40,8 @@
     std::string_view pair = pairs.substr(0, comma);
     pairs = comma == std::string_view::npos ? std::string_view() : pairs.substr(comma + 1);
     std::size_t colon = pair.find(':');
-    if (colon == std::string_view::npos) throw Malformed("a load report's pair has no colon");
+    if (colon == std::string_view::npos)
+      throw Malformed("a load report's pair has no colon");
     std::string_view name = pair.substr(0, colon), value = pair.substr(colon + 1);
     std::optional<double>* field = name == "rif"                               ? &report.inflight
                                    : name == "q"                               ? &report.queue
@@ -48,7 +50,8 @@
                                    : name == "x0" && columns.x0_is_free_slots  ? &report.free_slots
                                    : name == "x1" && columns.x1_is_free_memory ? &report.free_memory
                                                                                : nullptr;
-    if (field && value != "-") *field = parse_number<double>(value);
+    if (field && value != "-")
+      *field = parse_number<double>(value);
   }
   return report;
 }
@@ -63,7 +66,8 @@
       std::string_view pair = pairs.substr(0, space);
       pairs = space == std::string_view::npos ? std::string_view() : pairs.substr(space + 1);
       std::size_t equals = pair.find('=');
-      if (equals == std::string_view::npos) throw Malformed("a setting has no '='");
+      if (equals == std::string_view::npos)
+        throw Malformed("a setting has no '='");
       values_[std::string(pair.substr(0, equals))] = std::string(pair.substr(equals + 1));
     }
   }
@@ -77,20 +81,26 @@
   }
   int whole(const std::string& key, int otherwise) const {
     double value = number(key, otherwise);
-    if (!(value >= -1e9 && value <= 1e9)) throw Malformed("a setting is out of range");
+    if (!(value >= -1e9 && value <= 1e9))
+      throw Malformed("a setting is out of range");
     return static_cast<int>(value);
   }
-  stagehinge::Duration time(const std::string& key) const { return stagehinge::Duration(number(key, 0)); }
+  stagehinge::Duration time(const std::string& key) const {
+    return stagehinge::Duration(number(key, 0));
+  }
   bool yes(const std::string& key) const { return text(key) == "true" || text(key) == "1"; }
-  std::optional<double> item(const std::string& key, std::size_t index) const {  // of a comma-joined list
+  std::optional<double> item(const std::string& key,
+                             std::size_t index) const {  // of a comma-joined list
     std::string_view list = text(key);
     for (; index > 0; --index) {
       std::size_t comma = list.find(',');
-      if (comma == std::string_view::npos) return std::nullopt;
+      if (comma == std::string_view::npos)
+        return std::nullopt;
       list = list.substr(comma + 1);
     }
     list = list.substr(0, list.find(','));
-    if (list.empty() || list == "-") return std::nullopt;
+    if (list.empty() || list == "-")
+      return std::nullopt;
     return parse_number<double>(list);
   }
 
@@ -127,10 +137,12 @@
   s.tick = in.time("TickMs");
   s.max_attempts = in.whole("Permissions.MaxAttempts", 1);
   s.parallel_tries = in.yes("Permissions.ParallelTries");
-  if (in.has("Permissions.ConnectTimeoutMs")) s.connect_timeout = in.time("Permissions.ConnectTimeoutMs");
+  if (in.has("Permissions.ConnectTimeoutMs"))
+    s.connect_timeout = in.time("Permissions.ConnectTimeoutMs");
   s.cancelling = in.yes("Permissions.Cancelling");
   s.may_probe = in.yes("Permissions.MayProbe");
-  if (in.yes("Permissions.RetryAfter")) s.max_retry_after = in.time("Permissions.MaxRetryAfterMs");
+  if (in.yes("Permissions.RetryAfter"))
+    s.max_retry_after = in.time("Permissions.MaxRetryAfterMs");
   s.must_subscribe = in.text("Discovery") == "subscribe";
   std::string_view how = in.text("Report.How");
   s.reports = how == "inline"     ? ReportMode::Inline
@@ -144,10 +156,14 @@
   s.cold_from = in.number("Invariants.ColdFrom", s.cold_from);
   s.ramp_time = in.time("Invariants.RampTimeMs");
   s.tip_multiple = in.number("Invariants.TipMultiple", s.tip_multiple);
-  if (in.has("Invariants.FallMs")) s.fall_span = in.time("Invariants.FallMs");
-  if (in.has("Invariants.BudgetFree")) s.budget_free = in.number("Invariants.BudgetFree", 0);
-  if (in.has("Invariants.ExtraPerRequest")) s.extra_per_request = in.number("Invariants.ExtraPerRequest", 0);
-  if (in.has("Invariants.ExtraWindowMs")) s.extra_window = in.time("Invariants.ExtraWindowMs");
+  if (in.has("Invariants.FallMs"))
+    s.fall_span = in.time("Invariants.FallMs");
+  if (in.has("Invariants.BudgetFree"))
+    s.budget_free = in.number("Invariants.BudgetFree", 0);
+  if (in.has("Invariants.ExtraPerRequest"))
+    s.extra_per_request = in.number("Invariants.ExtraPerRequest", 0);
+  if (in.has("Invariants.ExtraWindowMs"))
+    s.extra_window = in.time("Invariants.ExtraWindowMs");
   for (int i = 0; i < std::min(in.whole("Tenants.count", 0), 10'000); ++i)
     s.tenant_quotas.push_back(in.number("Tenants." + std::to_string(i) + ".QuotaRps", 0));
   s.over_share_worth = in.number("OverShareWorth", 1);
--- a/src/simhost/host.h
+++ b/src/simhost/host.h
@@ -1,5 +1,5 @@
-// One batch in, one reply out: events go to the Dispatcher of their instance, its actions into the reply.
-// Nothing is decided here. Instances share nothing but the parsed list pages.
+// One batch in, one reply out: events go to the Dispatcher of their instance, its actions into the
+// reply. Nothing is decided here. Instances share nothing but the parsed list pages.
 #pragma once
 
 #include <array>
@@ -25,7 +25,8 @@
     }
     std::string_view what = f.word();
     if (!in_batch_) {
-      if (what != "CLOCK") throw Malformed("expected CLOCK");
+      if (what != "CLOCK")
+        throw Malformed("expected CLOCK");
       now_ = stagehinge::Time(f.time());
       batch_ = f.word();
       reply_.clear();
@@ -52,7 +53,7 @@
     std::optional<stagehinge::Dispatcher> dispatcher;
     Columns columns;
     std::optional<oatledge::fleet::Loads> loads;  // where dispatchers may talk
-    std::unordered_map<std::string, int> have;     // own jobs, by worker
+    std::unordered_map<std::string, int> have;    // own jobs, by worker
     std::vector<std::string> listed;
   };
 
@@ -70,21 +71,24 @@
       settings.seed = f.integer<std::uint64_t>();
       stagehinge::settings::SettingsReader in(f.rest());
       target().columns = read_settings(in, settings);
-      if (in.yes("Permissions.Peers")) target().loads.emplace(settings.index, settings.balancers);
+      if (in.yes("Permissions.Peers"))
+        target().loads.emplace(settings.index, settings.balancers);
       target().dispatcher.emplace(settings, now_, actions_);
       flush_actions();
     } else if (what == "DOWN") {
       target() = Instance{};
     } else if (known(what)) {
-      if (!target().dispatcher) throw Malformed("event for an instance that was not launched");
+      if (!target().dispatcher)
+        throw Malformed("event for an instance that was not launched");
       deliver(what, f, *host_->dispatcher);
       flush_actions();
     }
   }
 
   static bool known(std::string_view what) {
-    return what == "REQ" || what == "RESPONSE" || what == "NOTICE" || what == "WAKEUP" || what == "HEALTH" ||
-           what == "BACKENDS_CHANGED" || what == "TIMED_OUT_CLIENT" || what == "WHISPER";
+    return what == "REQ" || what == "RESPONSE" || what == "NOTICE" || what == "WAKEUP" ||
+           what == "HEALTH" || what == "BACKENDS_CHANGED" || what == "TIMED_OUT_CLIENT" ||
+           what == "WHISPER";
   }
 
   void deliver(std::string_view what, Fields& f, stagehinge::Dispatcher& d) {
@@ -99,7 +103,8 @@
       r.slots = f.optional_number().value_or(1);
       r.memory = f.optional_number().value_or(0);
       bool hint_valid = (static_cast<unsigned>(f.optional_number().value_or(0)) & 1U) != 0;
-      if (hint && hint_valid) r.hint = stagehinge::Duration(*hint);
+      if (hint && hint_valid)
+        r.hint = stagehinge::Duration(*hint);
       d.on_request(now_, r, actions_);
     } else if (what == "RESPONSE") {
       stagehinge::AttemptEnd e;
@@ -118,19 +123,24 @@
       int attempt = f.integer<int>();
       std::string_view worker = f.word();
       int kind = f.integer<int>();
-      if (kind != 1 && kind != 2) return;
+      if (kind != 1 && kind != 2)
+        return;
       d.on_note(now_, id, attempt, worker,
-                kind == 1 ? stagehinge::NoteKind::Started : stagehinge::NoteKind::Progress, actions_);
+                kind == 1 ? stagehinge::NoteKind::Started : stagehinge::NoteKind::Progress,
+                actions_);
     } else if (what == "WAKEUP") {
       d.on_timer(now_, actions_);
-      if (host_->loads) host_->loads->expire(now_, changed(d));
+      if (host_->loads)
+        host_->loads->expire(now_, changed(d));
     } else if (what == "HEALTH") {
       std::string_view worker = f.word();
       stagehinge::Outcome outcome = read_outcome(f.word());
       f.word();  // time since the send
-      d.on_probe_result(now_, worker, outcome, read_report(f.optional_word(), host_->columns), actions_);
+      d.on_probe_result(now_, worker, outcome, read_report(f.optional_word(), host_->columns),
+                        actions_);
     } else if (what == "WHISPER") {
-      if (!host_->loads) return;
+      if (!host_->loads)
+        return;
       auto sender = f.integer<std::size_t>();
       host_->loads->take(now_, sender, read_bytes(f.optional_word()), changed(d));
     } else if (what == "TIMED_OUT_CLIENT") {
@@ -138,7 +148,8 @@
     } else {
       std::optional<stagehinge::ListKind> kind = read_list_kind(f.word());
       f.word();  // revision
-      if (!kind) return;
+      if (!kind)
+        return;
       static const std::vector<stagehinge::WorkerEntry> none;
       bool error = *kind == stagehinge::ListKind::Error;
       entries_.clear();
@@ -146,49 +157,61 @@
         for (const Row& row : pages_.at(f.integer<std::size_t>(0, pages_.size() - 1)))
           entries_.push_back(row.entry());
       d.on_list(now_, *kind, error ? none : entries_, actions_);
-      if (host_->loads && !error) listed(*kind);
+      if (host_->loads && !error)
+        listed(*kind);
     }
   }
 
   void row(Fields& f) {
-    if (f.word() != "ROW") throw Malformed("expected ROW");
+    if (f.word() != "ROW")
+      throw Malformed("expected ROW");
     page_->push_back(read_row(f));
     --rows_left_;
   }
 
   Instance& target() {
-    if (!host_) throw Malformed("event before TARGET_INSTANCE");
+    if (!host_)
+      throw Malformed("event before TARGET_INSTANCE");
     return *host_;
   }
 
   void listed(stagehinge::ListKind kind) {
     auto& names = host_->listed;
-    if (kind != stagehinge::ListKind::Partial) names.clear();
+    if (kind != stagehinge::ListKind::Partial)
+      names.clear();
     for (const stagehinge::WorkerEntry& e : entries_) {
       std::erase(names, e.worker);
-      if (e.readiness != stagehinge::Readiness::Gone) names.emplace_back(e.worker);
+      if (e.readiness != stagehinge::Readiness::Gone)
+        names.emplace_back(e.worker);
     }
     host_->loads->list(names, changed(*host_->dispatcher));
   }
 
   oatledge::fleet::Loads::Changed changed(stagehinge::Dispatcher& d) {
-    return [this, &d](const std::string& worker, int jobs) { d.on_peers(now_, worker, jobs, actions_); };
+    return [this, &d](const std::string& worker, int jobs) {
+      d.on_peers(now_, worker, jobs, actions_);
+    };
   }
   void have(std::string_view worker, int more) {
-    if (!host_->loads) return;
+    if (!host_->loads)
+      return;
     moved_.emplace_back(worker);
     host_->have[moved_.back()] += more;
   }
   void tell() {
-    if (!host_ || !host_->loads) return;
-    for (const std::string& w : moved_) host_->loads->have(now_, w, host_->have[w]);
+    if (!host_ || !host_->loads)
+      return;
+    for (const std::string& w : moved_)
+      host_->loads->have(now_, w, host_->have[w]);
     moved_.clear();
-    for (const auto& m : host_->loads->due(now_)) speak_for(), write_message(m.to, m.bytes, reply_);
+    for (const auto& m : host_->loads->due(now_))
+      speak_for(), write_message(m.to, m.bytes, reply_);
   }
 
   void flush_actions() {
     for (const stagehinge::Action& a : actions_) {
-      if (a.kind == stagehinge::ActionKind::Send) have(a.worker, 1);
+      if (a.kind == stagehinge::ActionKind::Send)
+        have(a.worker, 1);
       speak_for();
       write_action(a, reply_);
     }
@@ -197,7 +220,8 @@
   }
 
   void speak_for() {
-    if (!std::exchange(named_, true)) reply_ += "ON_BEHALF ", reply_ += who_, reply_ += '\n';
+    if (!std::exchange(named_, true))
+      reply_ += "ON_BEHALF ", reply_ += who_, reply_ += '\n';
   }
 
   std::unordered_map<std::string, Instance> instances_;
--- a/src/simhost/main.cpp
+++ b/src/simhost/main.cpp
@@ -1,4 +1,5 @@
-// Standard input to Host, its replies to standard output. Exits 0 at the end of input, 1 on a malformed line.
+// Standard input to Host, its replies to standard output. Exits 0 at the end of input, 1 on a
+// malformed line.
 #include <unistd.h>
 
 #include <cstdio>
@@ -10,7 +11,8 @@
 bool write_all(const std::string& text) {
   for (std::size_t done = 0; done < text.size();) {
     ssize_t n = ::write(STDOUT_FILENO, text.data() + done, text.size() - done);
-    if (n <= 0) return false;
+    if (n <= 0)
+      return false;
     done += static_cast<std::size_t>(n);
   }
   return true;
@@ -28,7 +30,8 @@
       std::string_view line(buffer.data() + start, end - start);
       ++line_number;
       try {
-        if (host.line(line) && !write_all(host.reply())) return 1;
+        if (host.line(line) && !write_all(host.reply()))
+          return 1;
       } catch (const std::exception& e) {
         std::fprintf(stderr, "stagehinge_simhost: line %zu: %s: %.200s\n", line_number, e.what(),
                      std::string(line).c_str());
@@ -38,8 +41,8 @@
     buffer.erase(0, start);
   }
   if (!buffer.empty() || host.in_batch()) {
-    std::fprintf(stderr, "stagehinge_simhost: line %zu: input ends inside a batch: %.200s\n", line_number + 1,
-                 buffer.c_str());
+    std::fprintf(stderr, "stagehinge_simhost: line %zu: input ends inside a batch: %.200s\n",
+                 line_number + 1, buffer.c_str());
     return 1;
   }
   return 0;
@@ -47,4 +50,6 @@
 
 }  // namespace
 
-int main() { return run(); }
+int main() {
+  return run();
+}
--- a/src/simhost/wire.h
+++ b/src/simhost/wire.h
@@ -32,7 +32,8 @@
   }
   std::string_view word() {
     std::string_view w = optional_word();
-    if (w.empty()) throw Malformed("a value is missing");
+    if (w.empty())
+      throw Malformed("a value is missing");
     return w;
   }
   std::string_view rest() const { return rest_; }
@@ -40,17 +41,20 @@
   template <class Integer>
   Integer integer(Integer low = 0, Integer high = std::numeric_limits<Integer>::max()) {
     Integer value = parse_number<Integer>(word());
-    if (value < low || value > high) throw Malformed("a number is out of range");
+    if (value < low || value > high)
+      throw Malformed("a number is out of range");
     return value;
   }
   std::optional<double> optional_number() {
     std::string_view w = optional_word();
-    if (w.empty() || w == "-") return std::nullopt;
+    if (w.empty() || w == "-")
+      return std::nullopt;
     return parse_number<double>(w);
   }
   stagehinge::Duration time() {
     double value = parse_number<double>(word());
-    if (!std::isfinite(value)) throw Malformed("a time is not finite");
+    if (!std::isfinite(value))
+      throw Malformed("a time is not finite");
     return stagehinge::Duration(value);
   }
   stagehinge::RequestId hex_id() {
@@ -90,59 +94,77 @@
                                                : Readiness::Terminating;
   row.values.size = f.optional_number().value_or(1);
   std::optional<double> since = f.optional_number();
-  if (since && *since != 0) row.values.online_since = stagehinge::Time(stagehinge::Duration(*since));
+  if (since && *since != 0)
+    row.values.online_since = stagehinge::Time(stagehinge::Duration(*since));
   return row;
 }
 
 inline std::optional<stagehinge::ListKind> read_list_kind(std::string_view word) {
   using stagehinge::ListKind;
-  if (word == "Partial") return ListKind::Partial;
-  if (word == "Complete") return ListKind::Complete;
-  if (word == "Persisted") return ListKind::Persisted;
-  if (word == "Error") return ListKind::Error;
+  if (word == "Partial")
+    return ListKind::Partial;
+  if (word == "Complete")
+    return ListKind::Complete;
+  if (word == "Persisted")
+    return ListKind::Persisted;
+  if (word == "Error")
+    return ListKind::Error;
   return std::nullopt;
 }
 
 inline stagehinge::Outcome read_outcome(std::string_view word) {
   using stagehinge::Outcome;
-  if (word == "success") return Outcome::Success;
-  if (word == "overloaded") return Outcome::Overloaded;
-  if (word == "timed_out") return Outcome::TimedOut;
-  if (word == "unreachable") return Outcome::Unreachable;
-  if (word == "broken") return Outcome::Broken;
-  if (word == "withdrawn") return Outcome::Withdrawn;
-  if (word == "void") return Outcome::Void;
+  if (word == "success")
+    return Outcome::Success;
+  if (word == "overloaded")
+    return Outcome::Overloaded;
+  if (word == "timed_out")
+    return Outcome::TimedOut;
+  if (word == "unreachable")
+    return Outcome::Unreachable;
+  if (word == "broken")
+    return Outcome::Broken;
+  if (word == "withdrawn")
+    return Outcome::Withdrawn;
+  if (word == "void")
+    return Outcome::Void;
   return Outcome::Failure;  // also a word not known here: the attempt is over and proves nothing
 }
 
-// Three decimals; by whole thousandths where they fit, since the library's way for fractions takes far
-// longer.
+// Three decimals; by whole thousandths where they fit, since the library's way for fractions takes
+// far longer.
 inline void write_time(stagehinge::Duration d, std::string& out) {
   char text[32];
   double thousandths = std::round(d.count() * 1000);
   if (!(thousandths >= 0 && thousandths < 9e15)) {
-    auto [end, error] = std::to_chars(text, text + sizeof text, d.count(), std::chars_format::fixed, 3);
+    auto [end, error] =
+        std::to_chars(text, text + sizeof text, d.count(), std::chars_format::fixed, 3);
     out.append(text, error == std::errc() ? end : text);
     return;
   }
   auto whole = static_cast<std::uint64_t>(thousandths);
   out.append(text, std::to_chars(text, text + sizeof text, whole / 1000).ptr);
   out += '.';
-  for (std::uint64_t unit : {100, 10, 1}) out += static_cast<char>('0' + whole / unit % 10);
+  for (std::uint64_t unit : {100, 10, 1})
+    out += static_cast<char>('0' + whole / unit % 10);
 }
 
 inline void write_id(stagehinge::RequestId id, std::string& out) {
-  for (int shift = 60; shift >= 0; shift -= 4) out += "0123456789abcdef"[(id >> shift) & 15];
+  for (int shift = 60; shift >= 0; shift -= 4)
+    out += "0123456789abcdef"[(id >> shift) & 15];
 }
 
 inline std::string read_bytes(std::string_view hex) {
   std::string bytes;
-  if (hex == "-") hex = {};
-  if (hex.size() % 2 != 0) throw Malformed("half a byte");
+  if (hex == "-")
+    hex = {};
+  if (hex.size() % 2 != 0)
+    throw Malformed("half a byte");
   for (std::size_t i = 0; i < hex.size(); i += 2) {
     unsigned char byte = 0;
     auto [end, error] = std::from_chars(hex.data() + i, hex.data() + i + 2, byte, 16);
-    if (error != std::errc() || end != hex.data() + i + 2) throw Malformed("not a byte");
+    if (error != std::errc() || end != hex.data() + i + 2)
+      throw Malformed("not a byte");
     bytes += static_cast<char>(byte);
   }
   return bytes;
@@ -150,7 +172,8 @@
 
 inline void write_message(int to, std::string_view bytes, std::string& out) {
   out += "BROADCAST_TO " + std::to_string(to) + ' ';
-  for (unsigned char c : bytes) out += "0123456789abcdef"[c >> 4], out += "0123456789abcdef"[c & 15];
+  for (unsigned char c : bytes)
+    out += "0123456789abcdef"[c >> 4], out += "0123456789abcdef"[c & 15];
   out += '\n';
 }
 
@@ -184,7 +207,9 @@
       out += "ASK_LOAD ";
       out += a.worker;
       break;
-    case ActionKind::Subscribe: out += "LISTEN 1"; break;
+    case ActionKind::Subscribe:
+      out += "LISTEN 1";
+      break;
     case ActionKind::SetTimer:
       out += "ARM ";
       write_time(a.at.time_since_epoch(), out);
--- a/src/state.h
+++ b/src/state.h
@@ -1,4 +1,5 @@
-// What a dispatcher remembers of its workers, attempts and jobs. The decisions on it are in logic.cpp.
+// What a dispatcher remembers of its workers, attempts and jobs. The decisions on it are in
+// logic.cpp.
 #pragma once
 
 #include <algorithm>
@@ -39,7 +40,8 @@
 };
 
 struct alignas(64) Worker {
-  // What is read of every worker every few seconds: together, so that a walk costs one cache line for each.
+  // What is read of every worker every few seconds: together, so that a walk costs one cache line
+  // for each.
   double size = 1;
   double slots = kGuessedSlots, speed = 1, speed_work = 0, speed_time = 0;
   std::optional<Time> cold_since;
@@ -47,7 +49,8 @@
   bool listed = false, ready = false, short_pool = false;
   double others = 0;  // slots held by jobs that are not ours, as of others_at
   Time others_at{}, reported_at{};
-  std::optional<double> peers;  // jobs there, as the other dispatchers tell; none: they do not tell of it
+  std::optional<double>
+      peers;  // jobs there, as the other dispatchers tell; none: they do not tell of it
   // what our jobs there add up to
   double own_work = 0, own_slots = 0, own_memory = 0, started_slots = 0;
   std::vector<Outstanding> out;
@@ -73,14 +76,16 @@
   std::list<std::pair<Time, double>> sent;  // work sent in the last fall span; few workers have any
 };
 
-struct Pool {  // the ready workers of one size at home or elsewhere, and the running sum of their capacity
+struct Pool {  // the ready workers of one size at home or elsewhere, and the running sum of their
+               // capacity
   std::vector<Worker*> workers;
   std::vector<double> upto;
 };
 
 struct Attempt {
   Worker* worker;
-  Time sent, since;  // since: the first send of those that may have run then; the memory span counts from it
+  Time sent, since;  // since: the first send of those that may have run then; the memory span
+                     // counts from it
   int zone, cell;    // of the worker, as listed at the send
   bool open = true, may_have_run = true, started = false;
 };
@@ -107,7 +112,9 @@
 
 struct ClassStats {  // of the jobs of a class
   double mean_work = 100, jobs = 0;
-  double learn(double work) { return mean_work += (work - mean_work) * std::max(0.05, 1.0 / ++jobs); }
+  double learn(double work) {
+    return mean_work += (work - mean_work) * std::max(0.05, 1.0 / ++jobs);
+  }
   Duration patience{0};  // the longest: of a first try
   HintModel hints;
 };
--- a/src/streaming/budget.cpp
+++ b/src/streaming/budget.cpp
@@ -14,30 +14,35 @@
 }
 
 std::optional<Budget::Lane> Budget::open() {
-  if (!spare(1)) return std::nullopt;
+  if (!spare(1))
+    return std::nullopt;
   use(1);
   return Lane(*this);
 }
 
 Budget::Lane::~Lane() {
-  if (budget_) budget_->used_ -= std::max<std::size_t>(held_, 1);
+  if (budget_)
+    budget_->used_ -= std::max<std::size_t>(held_, 1);
 }
 
-// With h held and f free, one more is allowed while h stays under f. So the answer for several at once is the
-// largest k for which h + k - 1 < f - (k - 1): each one taken leaves one less free.
+// With h held and f free, one more is allowed while h stays under f. So the answer for several at
+// once is the largest k for which h + k - 1 < f - (k - 1): each one taken leaves one less free.
 std::size_t Budget::Lane::may_take() const {
   std::size_t own = held_ == 0 ? 1 : 0;  // owned from the start
-  std::size_t held = held_ + own, free = budget_->total_ - std::min(budget_->total_, budget_->used_);
+  std::size_t held = held_ + own,
+              free = budget_->total_ - std::min(budget_->total_, budget_->used_);
   std::size_t beyond = free > held ? (free - held + 1) / 2 : 0;
   return own + std::min(beyond, budget_->window_ - std::min(budget_->window_, held));
 }
 
 void Budget::Lane::take() {
-  if (held_++ > 0) budget_->use(1);
+  if (held_++ > 0)
+    budget_->use(1);
 }
 
 void Budget::Lane::give() {
-  if (--held_ > 0) --budget_->used_;
+  if (--held_ > 0)
+    --budget_->used_;
 }
 
 }  // namespace oatledge::streaming
--- a/src/streaming/budget.h
+++ b/src/streaming/budget.h
@@ -1,11 +1,12 @@
-// The memory that bodies may hold on their way through, shared by all of them. Pure: no sockets, no clock.
+// The memory that bodies may hold on their way through, shared by all of them. Pure: no sockets, no
+// clock.
 //
-// It is counted in chunks. A lane (one direction of one body) owns one chunk from its opening to its end, so
-// that whatever has begun can always go on: nothing waits for memory that another holds, and there is no
-// deadlock. Beyond that first chunk it may hold at most as much as is free at the moment (a dynamic
-// threshold, after Choudhury and Hahne's rule for shared buffers): n lanes that take all they can get leave
-// an n+1st part of what is shared free, so that a newcomer finds some, and what one leaves unused the others
-// may have.
+// It is counted in chunks. A lane (one direction of one body) owns one chunk from its opening to
+// its end, so that whatever has begun can always go on: nothing waits for memory that another
+// holds, and there is no deadlock. Beyond that first chunk it may hold at most as much as is free
+// at the moment (a dynamic threshold, after Choudhury and Hahne's rule for shared buffers): n lanes
+// that take all they can get leave an n+1st part of what is shared free, so that a newcomer finds
+// some, and what one leaves unused the others may have.
 #pragma once
 
 #include <cstddef>
@@ -35,7 +36,8 @@
     ~Lane();
     std::size_t held() const { return held_; }  // chunks
     std::size_t may_take() const;               // chunks, beyond those held
-    void take();  // one; also past may_take(), for what has been read already: the caller bounds that
+    void
+    take();  // one; also past may_take(), for what has been read already: the caller bounds that
     void give();  // one of those held
 
    private:
--- a/src/streaming/pipe.h
+++ b/src/streaming/pipe.h
@@ -1,9 +1,10 @@
-// One direction of one body: its source appends what has come, its sink takes it as it can be passed on.
-// Pure: no sockets, no clock; the two sides tell each other through calls that each may set.
+// One direction of one body: its source appends what has come, its sink takes it as it can be
+// passed on. Pure: no sockets, no clock; the two sides tell each other through calls that each may
+// set.
 //
-// The first bytes may be kept after they have gone out, so that the sink can begin again with another
-// receiver. They are let go once the body is longer than `replay_bytes`, or when there is no other memory to
-// go on with; from then on the body cannot be sent a second time.
+// The first bytes may be kept after they have gone out, so that the sink can begin again with
+// another receiver. They are let go once the body is longer than `replay_bytes`, or when there is
+// no other memory to go on with; from then on the body cannot be sent a second time.
 #pragma once
 
 #include <cstdint>
@@ -28,8 +29,8 @@
   void break_off();                     // it will never be: what waits here is not passed on
 
   // ---- Sink ----
-  // What comes next, at most `most` bytes of it; empty: nothing for now. The slice stays good until its bytes
-  // are told as written, at least.
+  // What comes next, at most `most` bytes of it; empty: nothing for now. The slice stays good until
+  // its bytes are told as written, at least.
   transport::Slice next(std::size_t most);
   void written(std::uint64_t all);  // bytes taken by next() that have gone out by now, in all
   void begin();                     // a receiver is there; a source that waits for that goes on
--- a/src/transport/address.h
+++ b/src/transport/address.h
@@ -10,10 +10,12 @@
 inline ObjectPtr<GSocketAddress> parse_address(
     const std::string& text) {  // HOST:PORT; null: it is no address
   std::size_t colon = text.rfind(':');
-  if (colon == std::string::npos) return nullptr;
+  if (colon == std::string::npos)
+    return nullptr;
   std::string host = text.substr(0, colon), port = text.substr(colon + 1);
   guint64 number = 0;
-  if (!g_ascii_string_to_unsigned(port.c_str(), 10, 1, 65535, &number, nullptr)) return nullptr;
+  if (!g_ascii_string_to_unsigned(port.c_str(), 10, 1, 65535, &number, nullptr))
+    return nullptr;
   return ObjectPtr<GSocketAddress>(
       g_inet_socket_address_new_from_string(host.c_str(), static_cast<guint>(number)));
 }
--- a/src/transport/clock.h
+++ b/src/transport/clock.h
@@ -1,4 +1,5 @@
-// The steady time that deadlines and decisions are counted in, behind an interface so that a test can set it.
+// The steady time that deadlines and decisions are counted in, behind an interface so that a test
+// can set it.
 #pragma once
 
 #include <chrono>
--- a/src/transport/deadlines.cpp
+++ b/src/transport/deadlines.cpp
@@ -8,12 +8,14 @@
 }
 
 void Deadlines::drop(Handle& handle) {
-  if (handle.order != 0) due_.erase({handle.at, handle.order});
+  if (handle.order != 0)
+    due_.erase({handle.at, handle.order});
   handle = {};
 }
 
 void Deadlines::sweep(Time now) {
-  // What a deadline adds at this same moment must not keep the sweep going for ever: sockets wait meanwhile.
+  // What a deadline adds at this same moment must not keep the sweep going for ever: sockets wait
+  // meanwhile.
   std::uint64_t last = order_;
   for (auto it = due_.begin(); it != due_.end() && it->first.first <= now;) {
     if (it->first.second > last) {
@@ -28,7 +30,8 @@
 }
 
 std::optional<Time> Deadlines::next() const {
-  if (due_.empty()) return std::nullopt;
+  if (due_.empty())
+    return std::nullopt;
   return due_.begin()->first.first;
 }
 
--- a/src/transport/descriptor.h
+++ b/src/transport/descriptor.h
@@ -14,7 +14,8 @@
   explicit Descriptor(int fd) : fd_(fd) {}
   Descriptor(Descriptor&& other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
   Descriptor& operator=(Descriptor&& other) noexcept {
-    if (this != &other) reset(), fd_ = std::exchange(other.fd_, -1);
+    if (this != &other)
+      reset(), fd_ = std::exchange(other.fd_, -1);
     return *this;
   }
   ~Descriptor() { reset(); }
@@ -26,7 +27,8 @@
 
  private:
   void reset() {
-    if (fd_ >= 0) ::close(fd_);
+    if (fd_ >= 0)
+      ::close(fd_);
     fd_ = -1;
   }
   int fd_ = -1;
--- a/src/transport/gio_network.h
+++ b/src/transport/gio_network.h
@@ -18,8 +18,9 @@
 class GioNetwork final : public Network {
  public:
   struct Limits {
-    std::size_t accepted;   // connections taken on the listening address
-    std::size_t connected;  // connections opened; kept apart, so that a crowd of clients cannot use them up
+    std::size_t accepted;  // connections taken on the listening address
+    std::size_t
+        connected;  // connections opened; kept apart, so that a crowd of clients cannot use them up
   };
   using Complain = std::function<void(const std::string&)>;
 
@@ -27,8 +28,8 @@
              Complain complain);
   ~GioNetwork() override;
 
-  // Throws std::runtime_error. `shared`: a second process of this dispatcher may listen there too; else one
-  // that is started by mistake finds the address taken.
+  // Throws std::runtime_error. `shared`: a second process of this dispatcher may listen there too;
+  // else one that is started by mistake finds the address taken.
   void listen(const std::string& address, Acceptor& acceptor, bool shared = false);
   // The same on a socket that another process listens on too, from accept_from_now_on(true).
   void share_listener(Descriptor listening, Acceptor& acceptor);
@@ -36,7 +37,8 @@
   void accept_from_now_on(bool on);
   void limit(Limits limits);  // no more than the table was made for
   std::size_t accepted() const { return accepted_; }
-  std::optional<SlotRef> adopt(Descriptor connection);  // an accepted one; nothing: no place is left
+  std::optional<SlotRef> adopt(
+      Descriptor connection);  // an accepted one; nothing: no place is left
   std::optional<SlotRef> connect(const std::string& address, ConnectionHandler& handler,
                                  Urgency urgency) override;
   void send(SlotRef connection, std::string bytes) override;
@@ -51,8 +53,8 @@
   void bulk(SlotRef connection, bool on) override;
   void again(SlotRef connection) override;
   Descriptor release(SlotRef connection) override;
-  bool
-  serve_bulk();  // once a turn, after the sockets: bulk connections that are ready, in turn; true: some wait
+  bool serve_bulk();  // once a turn, after the sockets: bulk connections that are ready, in turn;
+                      // true: some wait
 
  private:
   enum class State { Connecting, Open, Flushing, Lingering };
@@ -61,9 +63,10 @@
     ConnectionHandler* handler = nullptr;
     bool accepted = false, held = false;
     bool ends_unread = false;  // its end is told although what came before that has not been read
-    bool bulk = false, may_read = false, may_write = false;  // the latter two: of a bulk one, seen by poll
-    bool queued = false, more = false;                       // in bulk_
-    std::size_t granted = SIZE_MAX;                          // bytes that on_bytes() may still bring
+    bool bulk = false, may_read = false,
+         may_write = false;             // the latter two: of a bulk one, seen by poll
+    bool queued = false, more = false;  // in bulk_
+    std::size_t granted = SIZE_MAX;     // bytes that on_bytes() may still bring
     State state = State::Open;
     bool high = false;
     OutBuffer unsent;
@@ -104,8 +107,8 @@
   std::deque<SlotRef> finishing_;  // accepted connections on their way out, the longest first
   ObjectPtr<GSocket> listener_;
   SourcePtr accepts_;
-  int poll_ =
-      -1;  // one descriptor of epoll watches all connections: a turn costs what is ready, not what is open
+  int poll_ = -1;  // one descriptor of epoll watches all connections: a turn costs what is ready,
+                   // not what is open
   SourcePtr polled_;  // and it is one source of the loop
   std::vector<epoll_event> ready_;
   Acceptor* acceptor_ = nullptr;
--- a/src/transport/local_link.h
+++ b/src/transport/local_link.h
@@ -18,11 +18,12 @@
   std::vector<Descriptor> descriptors;
 };
 
-// Nothing: nobody listens there (or it is no socket). Throws std::runtime_error where local sockets cannot be
-// had at all.
+// Nothing: nobody listens there (or it is no socket). Throws std::runtime_error where local sockets
+// cannot be had at all.
 ObjectPtr<GSocket> connect_local(const std::string& path);
 
-// Before there is a loop: waits at most so long for one packet; nothing when none came or the link has ended.
+// Before there is a loop: waits at most so long for one packet; nothing when none came or the link
+// has ended.
 std::optional<Packet> receive_within(GSocket* socket, Duration longest);
 bool send_packet(GSocket* socket, const Packet& packet);  // false: it did not go out
 
@@ -51,8 +52,8 @@
   SourcePtr reads_, writes_;
 };
 
-// Listens at a path, which it takes over from whoever bound it before; a file that is no socket is left
-// alone.
+// Listens at a path, which it takes over from whoever bound it before; a file that is no socket is
+// left alone.
 class LocalListener {
  public:
   using Came = std::function<void(ObjectPtr<GSocket>)>;
--- a/src/transport/loop.cpp
+++ b/src/transport/loop.cpp
@@ -5,11 +5,15 @@
 namespace oatledge::transport {
 namespace {
 
-gboolean woken(gpointer) { return G_SOURCE_CONTINUE; }
+gboolean woken(gpointer) {
+  return G_SOURCE_CONTINUE;
+}
 
 GSourceFuncs wake_functions() {
   GSourceFuncs functions{};
-  functions.dispatch = [](GSource*, GSourceFunc callback, gpointer data) { return callback(data); };
+  functions.dispatch = [](GSource*, GSourceFunc callback, gpointer data) {
+    return callback(data);
+  };
   return functions;
 }
 
--- a/src/transport/slots.h
+++ b/src/transport/slots.h
@@ -1,5 +1,5 @@
-// A bounded table of numbered slots. A reference carries the slot's generation, so that a number kept too
-// long finds nothing instead of the slot's next tenant.
+// A bounded table of numbered slots. A reference carries the slot's generation, so that a number
+// kept too long finds nothing instead of the slot's next tenant.
 #pragma once
 
 #include <compare>
@@ -27,7 +27,8 @@
   std::size_t size() const { return used_; }
 
   std::optional<SlotRef> insert(T value) {
-    if (full()) return std::nullopt;
+    if (full())
+      return std::nullopt;
     std::uint32_t slot;
     if (free_.empty()) {
       slot = static_cast<std::uint32_t>(entries_.size());
@@ -41,12 +42,14 @@
     return SlotRef{slot, entries_[slot].generation};
   }
   T* find(SlotRef ref) {
-    if (ref.slot >= entries_.size()) return nullptr;
+    if (ref.slot >= entries_.size())
+      return nullptr;
     Entry& e = entries_[ref.slot];
     return e.generation == ref.generation && e.value ? &*e.value : nullptr;
   }
   void erase(SlotRef ref) {
-    if (!find(ref)) return;
+    if (!find(ref))
+      return;
     Entry& e = entries_[ref.slot];
     e.value.reset();
     ++e.generation;
@@ -56,7 +59,8 @@
   std::vector<SlotRef> refs() const {
     std::vector<SlotRef> all;
     for (std::uint32_t i = 0; i < entries_.size(); ++i)
-      if (entries_[i].value) all.push_back({i, entries_[i].generation});
+      if (entries_[i].value)
+        all.push_back({i, entries_[i].generation});
     return all;
   }
 
@@ -66,7 +70,8 @@
     std::optional<T> value;
   };
   std::size_t capacity_, used_ = 0;
-  std::deque<Entry> entries_;  // a deque: what find() gave stays where it is while others are inserted
+  std::deque<Entry>
+      entries_;  // a deque: what find() gave stays where it is while others are inserted
   std::vector<std::uint32_t> free_;
 };
 
--- a/tests/budget_test.cpp
+++ b/tests/budget_test.cpp
@@ -15,7 +15,8 @@
 
 std::vector<WorkerEntry> many(Scene& scene, const std::vector<std::string>& names) {
   std::vector<WorkerEntry> entries;
-  for (const std::string& name : names) entries.push_back(scene.worker(name));
+  for (const std::string& name : names)
+    entries.push_back(scene.worker(name));
   return entries;
 }
 
@@ -23,11 +24,13 @@
 int resends(Scene& scene, RequestId id, Outcome outcome) {
   scene.request(id, 10);
   int extra = -1;
-  for (int attempt = 0; attempt < 20 && !scene.sent_to(id).empty(); ++attempt, ++extra) scene.end(id, attempt, outcome);
+  for (int attempt = 0; attempt < 20 && !scene.sent_to(id).empty(); ++attempt, ++extra)
+    scene.end(id, attempt, outcome);
   return extra;
 }
 
-const std::vector<std::string> kNames{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l", "m", "n", "o", "p"};
+const std::vector<std::string> kNames{"a", "b", "c", "d", "e", "f", "g", "h",
+                                      "i", "j", "k", "l", "m", "n", "o", "p"};
 
 TEST(Budget, AFreshStartHasTheFreeAttemptsAndItsShareAlone) {
   for (Outcome outcome : {Outcome::Overloaded, Outcome::Unreachable}) {
@@ -63,7 +66,8 @@
 TEST(Budget, RequestsThatLeaveTheWindowTakeTheirShareAlong) {
   Scene scene(budget(0, 0.25, 1000));
   scene.list(many(scene, kNames));
-  for (RequestId id = 10; id < 20; ++id) scene.request(id, 10, 0);
+  for (RequestId id = 10; id < 20; ++id)
+    scene.request(id, 10, 0);
   scene.pass(1001);
   EXPECT_EQ(resends(scene, 1, Outcome::Overloaded), 0);
 }
@@ -80,9 +84,12 @@
 
 TEST(Budget, FiguresThatMakeNoSenseAreTurnedAway) {
   std::vector<Action> out;
-  for (auto spoil : {+[](Settings& s) { s.extra_window.reset(); }, +[](Settings& s) { s.budget_free = -1; },
-                     +[](Settings& s) { s.extra_per_request = NAN; },
-                     +[](Settings& s) { s.extra_window = Duration(INFINITY); }}) {
+  for (auto spoil :
+       {+[](Settings& s) { s.extra_window.reset(); }, +[](Settings& s) { s.budget_free = -1; },
+        +[](Settings& s) { s.extra_per_request = NAN; },
+        +[](Settings& s) {
+          s.extra_window = Duration(INFINITY);
+        }}) {
     Settings s = budget(1, 0.1, 1000);
     spoil(s);
     EXPECT_THROW(Dispatcher(s, Time{}, out), std::invalid_argument);
--- a/tests/cutoff_test.cpp
+++ b/tests/cutoff_test.cpp
@@ -1,4 +1,5 @@
-// The cutoff against values computed here by other means: sums over the raw jobs instead of a histogram.
+// The cutoff against values computed here by other means: sums over the raw jobs instead of a
+// histogram.
 #include <cmath>
 #include <random>
 
@@ -9,17 +10,20 @@
 
 HintHistogram histogram_of(const std::vector<double>& jobs) {
   HintHistogram h;
-  for (double x : jobs) h.add(Time(Duration(5)), x);
+  for (double x : jobs)
+    h.add(Time(Duration(5)), x);
   return h;
 }
 
-// Mean slowdown of the jobs in [low, high) on one queue holding `share` of the capacity, up to the common
-// factor.
-double slowdown(const std::vector<double>& jobs, double low, double high, double load, double share) {
+// Mean slowdown of the jobs in [low, high) on one queue holding `share` of the capacity, up to the
+// common factor.
+double slowdown(const std::vector<double>& jobs, double low, double high, double load,
+                double share) {
   double all = 0, n = 0, work = 0, square = 0, inverse = 0;
   for (double x : jobs) {
     all += x;
-    if (x < low || x >= high) continue;
+    if (x < low || x >= high)
+      continue;
     double service = x / share;
     n += 1, work += x, square += service * service, inverse += 1 / service;
   }
@@ -36,7 +40,8 @@
   return jobs;
 }
 
-// The fair cutoff by bisection on the raw jobs: slowdown of short ones grows with it, of long ones falls.
+// The fair cutoff by bisection on the raw jobs: slowdown of short ones grows with it, of long ones
+// falls.
 double fair_by_bisection(const std::vector<double>& jobs, double load, double share) {
   double low = *std::min_element(jobs.begin(), jobs.end()),
          high = *std::max_element(jobs.begin(), jobs.end());
@@ -55,7 +60,8 @@
     auto found = histogram_of(jobs).fair_cutoff(load, 0.5);
     ASSERT_TRUE(found);
     double expected = fair_by_bisection(jobs, load, 0.5);
-    EXPECT_NEAR(std::log2(*found), std::log2(expected), 0.3) << load;  // a bin is a quarter of an octave
+    EXPECT_NEAR(std::log2(*found), std::log2(expected), 0.3)
+        << load;  // a bin is a quarter of an octave
   }
 }
 
@@ -79,7 +85,8 @@
 TEST(Cutoff, RuleOfThumbSendsHalfTheLoadsFractionShort) {
   auto jobs = bounded_pareto(4000, 1.2, 10, 100000);
   double cutoff = histogram_of(jobs).rule_of_thumb_cutoff(0.6), below = 0, all = 0;
-  for (double x : jobs) all += x, below += x < cutoff ? x : 0;
+  for (double x : jobs)
+    all += x, below += x < cutoff ? x : 0;
   EXPECT_NEAR(below / all, 0.3, 0.05);
 }
 
@@ -92,32 +99,38 @@
 
 TEST(Cutoff, OldHintsFade) {
   HintHistogram h;
-  for (int i = 0; i < 100; ++i) h.add(Time(Duration(5)), 10);
+  for (int i = 0; i < 100; ++i)
+    h.add(Time(Duration(5)), 10);
   h.add(Time(Duration(5 + 60000)), 10);
   EXPECT_NEAR(h.samples(), 51, 0.5);
 }
 
 TEST(Cutoff, WorkRateIsTheWorkOfferedPerTime) {
   HintHistogram h;
-  for (int i = 0; i < 30000; i += 10) h.add(Time(Duration(i)), 5);
+  for (int i = 0; i < 30000; i += 10)
+    h.add(Time(Duration(i)), 5);
   EXPECT_NEAR(h.work_rate(Time(Duration(30000))), 0.5, 0.02);
 }
 
 TEST(HintModel, ExactHintsAreTakenAsTheyAre) {
   HintModel m;
   EXPECT_EQ(m.expected(50), 50);
-  for (int i = 0; i < 500; ++i) m.learn(1 + i % 90, 1 + i % 90);
+  for (int i = 0; i < 500; ++i)
+    m.learn(1 + i % 90, 1 + i % 90);
   EXPECT_NEAR(m.expected(5), 5, 0.2);
   EXPECT_NEAR(m.expected(80), 80, 2);
   EXPECT_LT(m.spread(), 1.1);
 }
 
-TEST(HintModel, HintsWithoutMeaningShrinkToTheMean) {  // incident ic372f3: short hints hid long jobs
+TEST(HintModel,
+     HintsWithoutMeaningShrinkToTheMean) {  // incident ic372f3: short hints hid long jobs
   HintModel m;
-  for (int i = 0; i < 2000; ++i) m.learn(i % 2 ? 10 : 1000, (i / 2) % 2 ? 50 : 200);
+  for (int i = 0; i < 2000; ++i)
+    m.learn(i % 2 ? 10 : 1000, (i / 2) % 2 ? 50 : 200);
   EXPECT_GT(m.expected(10), 100);
   EXPECT_LT(m.expected(1000), 900);
-  EXPECT_NEAR(m.expected(10) + m.expected(1000), 1010, 60) << "the load as a whole stays what the hints say";
+  EXPECT_NEAR(m.expected(10) + m.expected(1000), 1010, 60)
+      << "the load as a whole stays what the hints say";
   EXPECT_NEAR(m.spread(), 2, 0.2);
 }
 
--- a/tests/dispatcher_test.cpp
+++ b/tests/dispatcher_test.cpp
@@ -10,13 +10,15 @@
 
 std::vector<std::string> names(int n) {
   std::vector<std::string> out;
-  for (int i = 0; i < n; ++i) out.push_back("10.0.0." + std::to_string(i) + ":7000");
+  for (int i = 0; i < n; ++i)
+    out.push_back("10.0.0." + std::to_string(i) + ":7000");
   return out;
 }
 
 std::vector<WorkerEntry> entries(Scene& s, const std::vector<std::string>& ids, int zones = 1) {
   std::vector<WorkerEntry> out;
-  for (std::size_t i = 0; i < ids.size(); ++i) out.push_back(s.worker(ids[i], static_cast<int>(i) % zones));
+  for (std::size_t i = 0; i < ids.size(); ++i)
+    out.push_back(s.worker(ids[i], static_cast<int>(i) % zones));
   return out;
 }
 
@@ -40,7 +42,8 @@
   auto ids = names(16);
   s.list(entries(s, ids, 2));
   int shorts[2] = {};
-  for (std::size_t i = 0; i < ids.size(); ++i) shorts[i % 2] += s.dispatcher_.in_short_pool(ids[i]);
+  for (std::size_t i = 0; i < ids.size(); ++i)
+    shorts[i % 2] += s.dispatcher_.in_short_pool(ids[i]);
   EXPECT_EQ(shorts[0], 4);
   EXPECT_EQ(shorts[1], 4);
 }
@@ -51,10 +54,13 @@
     auto ids = names(12);
     s.list(entries(s, ids));
     std::vector<bool> before;
-    for (auto& id : ids) before.push_back(s.dispatcher_.in_short_pool(id));
-    s.list({s.worker(ids[gone], 0, 0, Readiness::Gone), s.worker("10.9.9.9:7000")}, ListKind::Partial);
+    for (auto& id : ids)
+      before.push_back(s.dispatcher_.in_short_pool(id));
+    s.list({s.worker(ids[gone], 0, 0, Readiness::Gone), s.worker("10.9.9.9:7000")},
+           ListKind::Partial);
     int moved = 0;
-    for (int i = 0; i < 12; ++i) moved += i != gone && s.dispatcher_.in_short_pool(ids[i]) != before[i];
+    for (int i = 0; i < 12; ++i)
+      moved += i != gone && s.dispatcher_.in_short_pool(ids[i]) != before[i];
     EXPECT_LE(moved, 1) << gone;
   }
 }
@@ -83,7 +89,8 @@
   s.list({s.worker("a"), s.worker("b"), s.worker("c"), s.worker("d")});
   std::map<RequestId, std::string> to;
   for (RequestId id = 1; id <= 4; ++id) {
-    if (id == 3) s.end(2, 0, Outcome::Success, true);  // its worker has the least work again
+    if (id == 3)
+      s.end(2, 0, Outcome::Success, true);  // its worker has the least work again
     s.request(id, 100);
     to[id] = s.sent_to(id);
     EXPECT_FALSE(s.dispatcher_.in_short_pool(to[id])) << "jobs of one size are all long";
@@ -145,7 +152,8 @@
   EXPECT_EQ(s.sent_to(3), "a");
 }
 
-// Guards the worth of a day: booked jobs worth ten of the others were held behind them until nobody waited.
+// Guards the worth of a day: booked jobs worth ten of the others were held behind them until nobody
+// waited.
 TEST(Hold, WhoIsWorthMostForItsWorkGoesFirstAndWhoIsLateByWhatIsLeft) {
   Settings set = settings(Effect::Unsafe);
   set.classes.push_back(set.classes[0]);
@@ -289,7 +297,8 @@
   EXPECT_EQ(s.of(ActionKind::Probe)[0].worker, first);
 }
 
-// Guards the other tenants from a burst of one: what is beyond its share takes only what nobody else needs.
+// Guards the other tenants from a burst of one: what is beyond its share takes only what nobody
+// else needs.
 TEST(Shares, AJobBeyondItsTenantsShareLeavesASlotFree) {
   Settings set = settings();
   set.tenant_quotas = {2, 2}, set.over_share_worth = 0.05;
@@ -315,40 +324,44 @@
   EXPECT_EQ(s.sent_to(8), "a");
 }
 
-// Guards clients that move here while another dispatcher restarts: all tenants send more then, which is no
-// burst.
+// Guards clients that move here while another dispatcher restarts: all tenants send more then,
+// which is no burst.
 TEST(Shares, FollowTheOtherTenantsWhenClientsMoveHere) {
-  auto held = [](bool all_tenants) {  // jobs that had to wait when traffic became three times as much
-    Settings set = settings();
-    set.tenant_quotas = {2, 2, 2}, set.over_share_worth = 0.05, set.balancers = 2;
-    Scene s(set);
-    s.list({s.worker("a")});
-    s.request(1, 100000, 200000);  // keeps one of the two slots
-    EXPECT_EQ(s.sent_to(1), "a");
-    s.started(1);
-    int waiting = 0;
-    RequestId id = 1;
-    for (int step = 0; step < 240;
-         ++step, s.now += Duration(100)) {  // each tenant once a second, its share here
-      bool more = step >= 120;
-      for (std::size_t tenant = 0; tenant < 3; ++tenant) {
-        bool bursts = more && (all_tenants || tenant == 0);
-        if ((step + 3 * static_cast<int>(tenant)) % (bursts ? 3 : 10) != 0) continue;
-        s.request(++id, 10, 50, 1, tenant);
-        bool sent = !s.sent_to(id).empty();
-        waiting += step >= 180 && !sent;
-        if (sent) s.end(id, 0, Outcome::Success, true);
-        else s.dispatcher_.on_client_gone(s.now, id, s.actions);
-      }
-    }
-    return waiting;
-  };
+  auto held =
+      [](bool all_tenants) {  // jobs that had to wait when traffic became three times as much
+        Settings set = settings();
+        set.tenant_quotas = {2, 2, 2}, set.over_share_worth = 0.05, set.balancers = 2;
+        Scene s(set);
+        s.list({s.worker("a")});
+        s.request(1, 100000, 200000);  // keeps one of the two slots
+        EXPECT_EQ(s.sent_to(1), "a");
+        s.started(1);
+        int waiting = 0;
+        RequestId id = 1;
+        for (int step = 0; step < 240;
+             ++step, s.now += Duration(100)) {  // each tenant once a second, its share here
+          bool more = step >= 120;
+          for (std::size_t tenant = 0; tenant < 3; ++tenant) {
+            bool bursts = more && (all_tenants || tenant == 0);
+            if ((step + 3 * static_cast<int>(tenant)) % (bursts ? 3 : 10) != 0)
+              continue;
+            s.request(++id, 10, 50, 1, tenant);
+            bool sent = !s.sent_to(id).empty();
+            waiting += step >= 180 && !sent;
+            if (sent)
+              s.end(id, 0, Outcome::Success, true);
+            else
+              s.dispatcher_.on_client_gone(s.now, id, s.actions);
+          }
+        }
+        return waiting;
+      };
   EXPECT_LE(held(true), 6);
   EXPECT_GE(held(false), 8);
 }
 
-// Guards heavy jobs, which are worth as much more: one must not wait out its time because light ones came
-// before it.
+// Guards heavy jobs, which are worth as much more: one must not wait out its time because light
+// ones came before it.
 TEST(Shares, AHeavyJobMayBorrowFromItsTenants) {
   Settings set = settings();
   set.tenant_quotas = {2, 2}, set.over_share_worth = 0.05;
@@ -357,7 +370,8 @@
   for (RequestId id = 1; id <= 4; ++id) {  // its share of two seconds at once
     s.request(id, 10);
     ASSERT_EQ(s.sent_to(id), "a");
-    if (id > 1) s.end(id, 0, Outcome::Success, true);
+    if (id > 1)
+      s.end(id, 0, Outcome::Success, true);
   }
   s.request(5, 10);
   EXPECT_TRUE(s.sent_to(5).empty());  // job 1 keeps a slot
@@ -373,12 +387,13 @@
   for (RequestId id = 1; id <= 20; ++id) {
     s.request(id, 10, 10000, 1, 3);
     ASSERT_EQ(s.sent_to(id), "a");
-    if (id > 1) s.end(id, 0, Outcome::Success, true);  // job 1 keeps a slot
+    if (id > 1)
+      s.end(id, 0, Outcome::Success, true);  // job 1 keeps a slot
   }
 }
 
-// Guards healthy workers where connections are reset: they must not stand idle for a second each time, nor
-// count as cold; but one that breaks off job after job is not believed each time.
+// Guards healthy workers where connections are reset: they must not stand idle for a second each
+// time, nor count as cold; but one that breaks off job after job is not believed each time.
 TEST(Health, OneLostConnectionIsNotALostWorker) {
   Settings set = settings(Effect::Unsafe);
   set.may_probe = true;
@@ -405,9 +420,11 @@
   set.classes[0].aim = Duration(9000);
   Scene s(set);
   s.list({s.worker("a")});
-  for (RequestId id = 1; id <= 2; ++id) s.request(id, 100);
+  for (RequestId id = 1; id <= 2; ++id)
+    s.request(id, 100);
   s.pass(5000);
-  for (const Action& a : s.of(ActionKind::Log)) EXPECT_EQ(a.text.find("taken as down"), std::string::npos);
+  for (const Action& a : s.of(ActionKind::Log))
+    EXPECT_EQ(a.text.find("taken as down"), std::string::npos);
 }
 
 TEST(Health, ALaggingSafeJobGetsASecondCopyAndTheWaitingOneIsCancelled) {
@@ -487,8 +504,10 @@
   s.list(entries(s, {"a", "b"}));
   for (RequestId id = 1; id <= 60; ++id) {
     s.request(id, 100);
-    if (s.sent_to(id).empty()) s.pass(2100);
-    else s.end(id, 0, Outcome::Success, true, errors(10));
+    if (s.sent_to(id).empty())
+      s.pass(2100);
+    else
+      s.end(id, 0, Outcome::Success, true, errors(10));
   }
   s.request(100, 100);
   EXPECT_FALSE(s.sent_to(100).empty());
@@ -511,7 +530,8 @@
   for (RequestId id = 1; id <= 40; ++id) {
     s.request(id * 7919, 10.0 + 13.0 * static_cast<double>(id % 7));
     write();
-    if (!s.sent_to(id * 7919).empty() && id % 3 == 0) s.end(id * 7919, 0, Outcome::Success, true), write();
+    if (!s.sent_to(id * 7919).empty() && id % 3 == 0)
+      s.end(id * 7919, 0, Outcome::Success, true), write();
     s.pass(20);
     write();
   }
@@ -529,7 +549,8 @@
   static Settings two() {
     Settings set = settings(Effect::Unsafe);
     set.classes.push_back(set.classes[0]);
-    for (ClassSettings& c : set.classes) c.aim = c.deadline = Duration(60000);
+    for (ClassSettings& c : set.classes)
+      c.aim = c.deadline = Duration(60000);
     return set;
   }
   bool goes(std::size_t job_class) {
@@ -571,13 +592,15 @@
 
 TEST(Shun, ASingleFailureAmongJobsServedIsChance) {
   TwoClasses s;
-  for (int i = 0; i < 3; ++i) s.serve(0, Outcome::Success);
+  for (int i = 0; i < 3; ++i)
+    s.serve(0, Outcome::Success);
   s.serve(0, Outcome::Failure);
   s.serve(0, Outcome::Failure);  // went at once; the second in a row is none
   EXPECT_FALSE(s.goes(0));
 }
 
-TEST(Shun, IsNoAnswerToOverload) {  // full, withdrawn or late: the worker is busy, whatever the class
+TEST(Shun,
+     IsNoAnswerToOverload) {  // full, withdrawn or late: the worker is busy, whatever the class
   for (Outcome outcome : {Outcome::Overloaded, Outcome::Withdrawn}) {
     TwoClasses s;
     ASSERT_TRUE(s.goes(0));
@@ -588,8 +611,8 @@
   }
 }
 
-// Where clients give no hints, the ends are all that tells what a job of a class costs: a guess that stays at
-// 100 ms has a fleet of 500 ms jobs refuse nearly all as hopeless.
+// Where clients give no hints, the ends are all that tells what a job of a class costs: a guess
+// that stays at 100 ms has a fleet of 500 ms jobs refuse nearly all as hopeless.
 TEST(Hints, WithoutThemAClassCostsWhatItsEndsHaveShown) {
   Settings set = settings();
   set.classes[0].aim = Duration(300), set.classes[0].stretch = 1.75;
@@ -621,12 +644,14 @@
   int sent = 0;
   for (RequestId id = 1; id < 6; ++id) {
     s.request(id, 0);
-    if (s.sent_to(id) == "a") ++sent, s.started(id);
+    if (s.sent_to(id) == "a")
+      ++sent, s.started(id);
   }
   EXPECT_EQ(sent, 1);
 }
 
-// What a cancel does not stop would run for nobody, and its client come again: a jam that feeds itself.
+// What a cancel does not stop would run for nobody, and its client come again: a jam that feeds
+// itself.
 TEST(Hints, WithoutThemAQueuedJobIsNotGivenUpBeforeItsClientDoes) {
   Scene s(settings(Effect::Unsafe));
   s.list({s.worker("a")});
@@ -637,7 +662,8 @@
   EXPECT_FALSE(s.answered(1, ActionKind::Cancel));
 }
 
-// Few jobs a dispatcher, and nothing told of the workers: a class of one size must not fill one pool alone.
+// Few jobs a dispatcher, and nothing told of the workers: a class of one size must not fill one
+// pool alone.
 TEST(Hints, WithoutThemADrawnFleetUsesBothPools) {
   Settings set = settings();
   set.balancers = 100;
@@ -667,18 +693,21 @@
   for (RequestId id = 1; id <= 40; ++id) {
     s.request(id, 100);
     s.pass(200);  // no start note comes
-    for (const Action& a : s.of(ActionKind::Send)) copies += a.id <= id ? 1 : 0;
+    for (const Action& a : s.of(ActionKind::Send))
+      copies += a.id <= id ? 1 : 0;
   }
   EXPECT_GE(copies, 1);
   EXPECT_LE(copies, 1 + 40 / 10 + 1);
 }
 
-// A copy pays where another worker could start it. Where half of the jobs wait for their start and no report
-// tells who has room, the copy would wait too, or take a slot from a job of somebody else: they fed the jam
-// of a calm day with a burst. Reports tell, and a copy among them helps who waits at a worker that is stuck.
+// A copy pays where another worker could start it. Where half of the jobs wait for their start and
+// no report tells who has room, the copy would wait too, or take a slot from a job of somebody
+// else: they fed the jam of a calm day with a burst. Reports tell, and a copy among them helps who
+// waits at a worker that is stuck.
 TEST(Copies, AreNoneWithoutReportsWhereHalfOfTheJobsOfLateHaveWaited) {
-  for (auto [prompt, reports] : {std::pair(true, ReportMode::Off), std::pair(false, ReportMode::Off),
-                                 std::pair(false, ReportMode::Inline)}) {
+  for (auto [prompt, reports] :
+       {std::pair(true, ReportMode::Off), std::pair(false, ReportMode::Off),
+        std::pair(false, ReportMode::Inline)}) {
     Settings set = settings();
     set.reports = reports;
     Scene s(set);
@@ -697,15 +726,20 @@
     for (; id <= 100; ++id) {
       s.request(id, 100);
       s.pass(200);  // no start note comes
-      for (const Action& a : s.of(ActionKind::Send)) copies += a.id <= id ? 1 : 0;
+      for (const Action& a : s.of(ActionKind::Send))
+        copies += a.id <= id ? 1 : 0;
     }
-    if (prompt) EXPECT_GE(copies, 4);
-    else if (reports == ReportMode::Off) EXPECT_LE(copies, 1);
-    else EXPECT_GE(copies, 3);
+    if (prompt)
+      EXPECT_GE(copies, 4);
+    else if (reports == ReportMode::Off)
+      EXPECT_LE(copies, 1);
+    else
+      EXPECT_GE(copies, 3);
   }
 }
 
-// Where no report tells it, a queue that a start note has shown does not go away within a job's run.
+// Where no report tells it, a queue that a start note has shown does not go away within a job's
+// run.
 TEST(OthersWork, IsRememberedLongerWhereThereAreNoReports) {
   for (bool reports : {true, false}) {
     Settings set = settings();
--- a/tests/effects_test.cpp
+++ b/tests/effects_test.cpp
@@ -1,4 +1,5 @@
-// The rule of effects from the side of what was seen: what may have run, when, and where it may go again.
+// The rule of effects from the side of what was seen: what may have run, when, and where it may go
+// again.
 #include <cmath>
 #include <limits>
 
@@ -12,7 +13,8 @@
     kSpan - 2 * kConnect - 2;  // a repeat this long after the first send is just too late
 
 const std::vector<Outcome> kProofs{Outcome::Overloaded, Outcome::Unreachable, Outcome::Void};
-const std::vector<Outcome> kDoubts{Outcome::Failure, Outcome::TimedOut, Outcome::Broken, Outcome::Withdrawn};
+const std::vector<Outcome> kDoubts{Outcome::Failure, Outcome::TimedOut, Outcome::Broken,
+                                   Outcome::Withdrawn};
 
 Settings patient(Effect effect, Group group) {
   Settings set = settings(effect, group);
@@ -37,7 +39,8 @@
   void send_copy(double after) {
     until(after);
     list({worker("b")}, ListKind::Partial);
-    for (int i = 0; i < 1500 && copy_to.empty(); ++i) pass(1), copy_to = sent_to(1);
+    for (int i = 0; i < 1500 && copy_to.empty(); ++i)
+      pass(1), copy_to = sent_to(1);
     ASSERT_EQ(copy_to, "b");
   }
   void end_as(int attempt, std::string_view named, Outcome outcome) {
@@ -50,8 +53,9 @@
   std::string copy_to;
 };
 
-// The reported day: the first attempt waits at a worker that drains and is handed back after a copy has gone
-// out. The group has known the key since the first send; the copy must not begin a span of its own.
+// The reported day: the first attempt waits at a worker that drains and is handed back after a copy
+// has gone out. The group has known the key since the first send; the copy must not begin a span of
+// its own.
 TEST(MemorySpan, ACopySharesTheSpanOfAFirstThatIsHandedBackLater) {
   for (Outcome proof : kProofs)
     for (Outcome doubt : kDoubts)
@@ -79,7 +83,8 @@
   s.end(1, 0, Outcome::Overloaded);
   s.until(3000);
   s.list({s.worker("c")}, ListKind::Partial);
-  for (int i = 0; i < 1500 && s.attempts[1] < 3; ++i) s.pass(1), s.sent_to(1);
+  for (int i = 0; i < 1500 && s.attempts[1] < 3; ++i)
+    s.pass(1), s.sent_to(1);
   ASSERT_EQ(s.attempts[1], 3);
   s.list({s.worker("b", 0, 0, Readiness::Terminating)}, ListKind::Partial);
   s.end(1, 1, Outcome::Unreachable);
@@ -159,7 +164,8 @@
   }
 }
 
-// After a stall of our own the timers come due first and the old ends behind them, all at the present time.
+// After a stall of our own the timers come due first and the old ends behind them, all at the
+// present time.
 TEST(MemorySpan, OldTimersAndEndsAfterAStallOfOurOwn) {
   Story s(patient(Effect::Keyed, Group::Zone));
   s.send_first();
@@ -222,8 +228,8 @@
   }
 }
 
-// The first of two ends in doubt; a second end of it that would prove something, or one under the copy's
-// name, changes nothing: the job may only go within the group, and is not refused.
+// The first of two ends in doubt; a second end of it that would prove something, or one under the
+// copy's name, changes nothing: the job may only go within the group, and is not refused.
 TEST(Proof, ComingAfterAnotherEndIsNone) {
   for (Outcome proof : kProofs)
     for (Outcome doubt : kDoubts) {
@@ -233,16 +239,17 @@
       s.end(1, 0, doubt);
       s.end(1, 0, proof);
       s.end_as(0, "b", proof);
-      s.list(
-          {s.worker("a", 0, 0, Readiness::Gone), s.worker("b", 0, 0, Readiness::Gone), s.worker("c", 0, 1)},
-          ListKind::Partial);
+      s.list({s.worker("a", 0, 0, Readiness::Gone), s.worker("b", 0, 0, Readiness::Gone),
+              s.worker("c", 0, 1)},
+             ListKind::Partial);
       s.end(1, 1, proof);
       EXPECT_TRUE(s.silent());
       EXPECT_TRUE(s.answered(1, ActionKind::Fail));
     }
 }
 
-// Held after the proof, since its only worker is full or down, the job is neither sent again nor refused.
+// Held after the proof, since its only worker is full or down, the job is neither sent again nor
+// refused.
 TEST(Proof, IsTakenBackByALaterSignThatItRan) {
   for (Outcome proof : {Outcome::Overloaded, Outcome::Unreachable})
     for (int sign : {0, 1, 2}) {
@@ -250,9 +257,12 @@
       s.send_first();
       s.end(1, 0, proof);
       ASSERT_TRUE(s.silent());
-      if (sign == 0) s.end(1, 0, Outcome::Broken);
-      if (sign == 1) s.started(1);
-      if (sign == 2) s.dispatcher_.on_note(s.now, 1, 0, "nobody", NoteKind::Progress, s.actions);
+      if (sign == 0)
+        s.end(1, 0, Outcome::Broken);
+      if (sign == 1)
+        s.started(1);
+      if (sign == 2)
+        s.dispatcher_.on_note(s.now, 1, 0, "nobody", NoteKind::Progress, s.actions);
       std::vector<Action> seen = s.actions;
       s.pass(30000);
       seen.insert(seen.end(), s.actions.begin(), s.actions.end());
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -15,7 +15,9 @@
   return s;
 }
 
-std::string name(int i) { return "w" + std::to_string(i); }
+std::string name(int i) {
+  return "w" + std::to_string(i);
+}
 
 std::vector<WorkerEntry> fleet(Scene& s, const std::vector<std::string>& names, std::size_t fast) {
   std::vector<WorkerEntry> list;
@@ -28,7 +30,8 @@
 
 TEST(Fleet, AlikeJobsSpreadInProportionToCapacityWithoutARush) {  // incident i58b7cc
   std::vector<std::string> names;
-  for (int i = 0; i < 100; ++i) names.push_back(name(i));
+  for (int i = 0; i < 100; ++i)
+    names.push_back(name(i));
   std::map<std::string, int> jobs;
   const int dispatchers = 2000;
   for (int index = 0; index < dispatchers; ++index) {
@@ -41,7 +44,8 @@
   for (const auto& [worker, n] : jobs) {
     ASSERT_FALSE(worker.empty());
     most = std::max(most, n);
-    if (std::stoi(worker.substr(1)) < 50) fast += n;
+    if (std::stoi(worker.substr(1)) < 50)
+      fast += n;
   }
   EXPECT_GT(fast, dispatchers * 0.55);  // two thirds of the capacity
   EXPECT_LT(fast, dispatchers * 0.95);
@@ -58,7 +62,8 @@
     ++jobs[s.sent_to(id)];
   }
   EXPECT_EQ(jobs.count(""), 0U);
-  for (const auto& [worker, n] : jobs) EXPECT_LE(n, 2) << worker;
+  for (const auto& [worker, n] : jobs)
+    EXPECT_LE(n, 2) << worker;
 }
 
 struct Asking : ::testing::Test {
@@ -66,12 +71,14 @@
     Settings set = one_of(500, 3);
     set.may_probe = true, set.reports = ReportMode::OnProbe;
     scene = std::make_unique<Scene>(set);
-    for (int i = 0; i < 40; ++i) names.push_back(name(i));
+    for (int i = 0; i < 40; ++i)
+      names.push_back(name(i));
     scene->list(fleet(*scene, names, 0));
   }
   std::vector<std::string> asked() {
     std::vector<std::string> found;
-    for (const Action& a : scene->of(ActionKind::Probe)) found.emplace_back(a.worker);
+    for (const Action& a : scene->of(ActionKind::Probe))
+      found.emplace_back(a.worker);
     return found;
   }
   void answer(const std::string& worker, double free_slots, double busy) {
@@ -90,7 +97,8 @@
   std::vector<std::string> first = asked();
   ASSERT_FALSE(first.empty());
   EXPECT_LE(first.size(), 2U);
-  for (std::size_t i = 0; i + 1 < first.size(); ++i) answer(first[i], 0, 1);
+  for (std::size_t i = 0; i + 1 < first.size(); ++i)
+    answer(first[i], 0, 1);
   answer(first.back(), 2, 0.1);
   EXPECT_EQ(scene->sent_to(1), first.back());
 }
@@ -98,7 +106,8 @@
 TEST_F(Asking, FreeSlotsAtAWorkerThatIsBusyAllTheTimeAreNotBelieved) {
   scene->request(1, 100);
   std::vector<std::string> first = asked();
-  for (const std::string& w : first) answer(w, 2, 1);
+  for (const std::string& w : first)
+    answer(w, 2, 1);
   EXPECT_TRUE(scene->sent_to(1).empty());
   EXPECT_FALSE(asked().empty());  // others are asked
 }
@@ -139,16 +148,19 @@
     ASSERT_FALSE(s.sent_to(1).empty());
     for (int i = 0; i < 1000; ++i) {
       s.pass(1);
-      if (s.sent_to(1).empty()) continue;
+      if (s.sent_to(1).empty())
+        continue;
       ++sends;
-      if (sends == 2) s.end(1, 0, Outcome::Withdrawn);  // what it waits for does not come
+      if (sends == 2)
+        s.end(1, 0, Outcome::Withdrawn);  // what it waits for does not come
     }
     EXPECT_EQ(sends > 2, !drawn);
   }
 }
 
 TEST_F(Asking, TheNumberAskedDoesNotGrowWithTheFleet) {
-  for (int i = 40; i < 400; ++i) names.push_back(name(i));
+  for (int i = 40; i < 400; ++i)
+    names.push_back(name(i));
   scene->list(fleet(*scene, names, 0));
   for (RequestId id = 1; id <= 20; ++id) {
     scene->request(id, 100);
@@ -171,8 +183,10 @@
       s.request(++id, 100);
       bool sent = !s.sent_to(id).empty();
       used |= sent;
-      if (sent) in_span[step / 10] += 100;
-      if (sent) s.end(id, 0, Outcome::Success, true);
+      if (sent)
+        in_span[step / 10] += 100;
+      if (sent)
+        s.end(id, 0, Outcome::Success, true);
       s.actions.clear();
       s.dispatcher_.on_client_gone(s.now, id, s.actions);
       s.now += Duration(100);
@@ -190,8 +204,9 @@
   EXPECT_GT(all, 0.2);  // a fair part is used
 }
 
-// Thirty of sixty workers have just been replaced, a hundred dispatchers have two jobs a second each, and all
-// warm workers are free. What share of the cold ones' least capacity is used in the first two seconds?
+// Thirty of sixty workers have just been replaced, a hundred dispatchers have two jobs a second
+// each, and all warm workers are free. What share of the cold ones' least capacity is used in the
+// first two seconds?
 TEST(Fleet, ManyColdWorkersAreUsedByTheirHoldersThoughOthersAreFree) {
   double sent = 0;
   for (int index = 0; index < 100; ++index) {
@@ -199,26 +214,31 @@
     set.may_probe = true, set.reports = ReportMode::Inline, set.fall_span = Duration(2000);
     Scene s(set);
     std::vector<std::string> names;
-    for (int i = 0; i < 60; ++i) names.push_back(name(i));
+    for (int i = 0; i < 60; ++i)
+      names.push_back(name(i));
     auto list = fleet(s, names, 0);
-    for (int i = 0; i < 30; ++i) list[i].online_since = s.now;
+    for (int i = 0; i < 30; ++i)
+      list[i].online_since = s.now;
     s.list(list);
     for (RequestId id = 1; id <= 4; ++id) {
       s.request(id, 150);
       std::string to = s.sent_to(id);
       std::deque<std::string> asked;
       auto note_asked = [&] {
-        for (const Action& a : s.of(ActionKind::Probe)) asked.emplace_back(a.worker);
+        for (const Action& a : s.of(ActionKind::Probe))
+          asked.emplace_back(a.worker);
       };
       for (note_asked(); !asked.empty(); asked.pop_front(), note_asked()) {
         LoadReport free;
         free.free_slots = 2;
         s.actions.clear();
         s.dispatcher_.on_probe_result(s.now, asked.front(), Outcome::Success, free, s.actions);
-        if (to.empty()) to = s.sent_to(id);
+        if (to.empty())
+          to = s.sent_to(id);
       }
       ASSERT_FALSE(to.empty());
-      if (std::stoi(to.substr(1)) < 30) sent += 150;
+      if (std::stoi(to.substr(1)) < 30)
+        sent += 150;
       s.started(id);
       s.pass(150);
       s.end(id, 0, Outcome::Success, true);
@@ -234,9 +254,11 @@
 struct NearScene : Scene {
   explicit NearScene(int index = 7) : Scene(near_settings(index)) {
     std::vector<std::string> names;
-    for (int i = 0; i < 40; ++i) names.push_back(name(i));
+    for (int i = 0; i < 40; ++i)
+      names.push_back(name(i));
     list(fleet(*this, names, 0));
-    for (int i = 0; i < 10; ++i) say(i, 0);
+    for (int i = 0; i < 10; ++i)
+      say(i, 0);
   }
   static Settings near_settings(int index) {
     Settings set = one_of(100, index);
@@ -251,14 +273,16 @@
   std::string first(RequestId id) {
     request(id, 100);
     for (const Action& a : actions)
-      if (a.kind == ActionKind::Probe || a.kind == ActionKind::Send) return std::string(a.worker);
+      if (a.kind == ActionKind::Probe || a.kind == ActionKind::Send)
+        return std::string(a.worker);
     return {};
   }
 };
 
 TEST(Near, AJobGoesToTheNearWorkerWithLeastOfAllWork) {
   NearScene s;
-  for (int i = 0; i < 10; ++i) s.say(i, i != 2);
+  for (int i = 0; i < 10; ++i)
+    s.say(i, i != 2);
   EXPECT_EQ(s.first(1), "w2");
   LoadReport full;  // it is old by a second: what the others tell goes before it
   full.free_slots = 0;
@@ -272,7 +296,8 @@
     int near = 0;
     for (int index = 0; index < 60; ++index) {
       NearScene s(index);
-      for (int i = 0; i < 10; ++i) s.say(i, 2);
+      for (int i = 0; i < 10; ++i)
+        s.say(i, 2);
       s.now += Duration(age);
       std::string asked = s.first(1);
       ASSERT_FALSE(asked.empty());
@@ -290,7 +315,8 @@
   EXPECT_TRUE(s.actions.empty());
   s.list({s.worker("w2", 0, 0, Readiness::Terminating)}, ListKind::Partial);
   s.say(2, 0);
-  for (RequestId id = 1; id <= 40; ++id) EXPECT_NE(s.first(id), "w2");
+  for (RequestId id = 1; id <= 40; ++id)
+    EXPECT_NE(s.first(id), "w2");
 }
 
 TEST(Patience, AClientInAHurryIsServedWhereNobodyWaits) {
--- a/tests/fuzz/datagrams.cpp
+++ b/tests/fuzz/datagrams.cpp
@@ -1,5 +1,6 @@
-// libFuzzer on the readers of what comes from other dispatchers: the view's datagrams, loads, and seals. The first
-// byte says which; a view's check is made right, so that what lies behind it is reached.
+// libFuzzer on the readers of what comes from other dispatchers: the view's datagrams, loads, and
+// seals. The first byte says which; a view's check is made right, so that what lies behind it is
+// reached.
 #include "../../src/fleet/loads.h"
 #include "../../src/fleet/seal.h"
 #include "../../src/fleet/view.h"
@@ -14,7 +15,8 @@
 namespace {
 
 void must(bool holds) {
-  if (!holds) std::abort();
+  if (!holds)
+    std::abort();
 }
 
 void view(std::string_view in) {
@@ -29,7 +31,8 @@
     std::string one(in.substr(1, n));
     in.remove_prefix(1 + n);
     XXH32_hash_t check = XXH32(one.data(), one.size(), 0);
-    for (int shift = 24; shift >= 0; shift -= 8) one += static_cast<char>(check >> shift & 0xff);
+    for (int shift = 24; shift >= 0; shift -= 8)
+      one += static_cast<char>(check >> shift & 0xff);
     v.take(Time(Duration(i * 37)), {2 + static_cast<std::uint32_t>(i % 3), 1}, one);
     v.tick(Time(Duration(i * 37)));
   }
@@ -38,7 +41,9 @@
 
 void loads(std::string_view in) {
   Loads l(0, 3);
-  auto changed = [](const std::string&, int jobs) { must(jobs >= 0 && jobs <= kMostThere); };
+  auto changed = [](const std::string&, int jobs) {
+    must(jobs >= 0 && jobs <= kMostThere);
+  };
   l.list({"s-1", "s-2"}, changed);
   l.take(Time{}, 1, in, changed);
   l.take(Time{}, 2, in.substr(in.size() / 2), changed);
@@ -56,12 +61,19 @@
 }  // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  if (size == 0) return 0;
+  if (size == 0)
+    return 0;
   std::string_view in(reinterpret_cast<const char*>(data) + 1, size - 1);
   switch (data[0] % 3) {
-    case 0: view(in); break;
-    case 1: loads(in); break;
-    case 2: seal(in); break;
+    case 0:
+      view(in);
+      break;
+    case 1:
+      loads(in);
+      break;
+    case 2:
+      seal(in);
+      break;
   }
   return 0;
 }
--- a/tests/net/crossings_test.cpp
+++ b/tests/net/crossings_test.cpp
@@ -1,7 +1,7 @@
-// Every two of what can happen to a command, in both orders and in one turn of the loop, on real sockets of
-// the loopback and an injected clock: the whole program between a client, an order worker and discovery.
-// Whatever crosses, the rules hold from outside, and nothing is left over. A play goes on when the network is
-// at rest.
+// Every two of what can happen to a command, in both orders and in one turn of the loop, on real
+// sockets of the loopback and an injected clock: the whole program between a client, an order
+// worker and discovery. Whatever crosses, the rules hold from outside, and nothing is left over. A
+// play goes on when the network is at rest.
 #include <functional>
 #include <list>
 
@@ -40,7 +40,8 @@
     Json::Value config = example();
     config["discovery"] = lists.address, config["known"]["targets"][0]["endpoint"] = worker.address;
     start(config);
-    for (Wire* w : {&client, &news_one, &news_two}) dial(*w);
+    for (Wire* w : {&client, &news_one, &news_two})
+      dial(*w);
     settle();
     // Used once, so that none is a newcomer whose first request is waited for.
     for (Wire* w : {&news_one, &news_two}) {
@@ -53,10 +54,12 @@
     command(client, "00000000000000a1");
     settle();
     REQUIRE(calls.size() == 1);
-    if (stage == Stage::Held) return;
+    if (stage == Stage::Held)
+      return;
     pass(3);
     REQUIRE(calls.front().id == "00000000000000a1");
-    if (stage == Stage::Taken) calls.front().wire.say(kTaken), calls.front().taken = true, settle();
+    if (stage == Stage::Taken)
+      calls.front().wire.say(kTaken), calls.front().taken = true, settle();
   }
 
   static constexpr const char* kTaken = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
@@ -67,7 +70,8 @@
     for (transport::Time until = clock.at + transport::Duration(ms); clock.at < until;) {
       clock.at = std::min(until, clock.at + transport::Duration(500));
       for (Watch& w : watches)  // a watch is answered in time, with no change
-        if (w.asked) answer(w, "[]");
+        if (w.asked)
+          answer(w, "[]");
       settle();
     }
   }
@@ -93,14 +97,19 @@
   }
 
   void tell(const Wire& w, const std::string& state, const std::string& id) const {
-    std::string body = R"({"id":")" + id + R"(","from":"s-a","state":")" + state + R"(","result":"made"})";
-    w.say("POST /_jobs/news HTTP/1.1\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
+    std::string body =
+        R"({"id":")" + id + R"(","from":"s-a","state":")" + state + R"(","result":"made"})";
+    w.say("POST /_jobs/news HTTP/1.1\r\nContent-Length: " + std::to_string(body.size()) +
+          "\r\n\r\n" + body);
   }
 
   void answer(Watch& w, const std::string& targets) {
-    if (targets != "[]") ++revision;
-    std::string body = R"({"rev":)" + std::to_string(revision) + R"(,"all":false,"targets":)" + targets + "}";
-    w.wire.say("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
+    if (targets != "[]")
+      ++revision;
+    std::string body =
+        R"({"rev":)" + std::to_string(revision) + R"(,"all":false,"targets":)" + targets + "}";
+    w.wire.say("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
+               body);
     w.asked = false;
   }
 
@@ -119,19 +128,23 @@
 
   bool serve() override {
     bool some = false;
-    for (int fd; (fd = lists.next()) >= 0; some = true) watches.emplace_back().wire.fd = fd;
-    for (int fd; (fd = worker.next()) >= 0; some = true) calls.emplace_back().wire.fd = fd;
+    for (int fd; (fd = lists.next()) >= 0; some = true)
+      watches.emplace_back().wire.fd = fd;
+    for (int fd; (fd = worker.next()) >= 0; some = true)
+      calls.emplace_back().wire.fd = fd;
     for (Watch& w : watches) {
       w.parser.feed(w.wire.pull());
       while (auto m = w.parser.next()) {
         some = w.asked = true;
-        if (m->target.find("wait=0") != std::string::npos || m->target.find("index") == std::string::npos)
+        if (m->target.find("wait=0") != std::string::npos ||
+            m->target.find("index") == std::string::npos)
           answer(w, "[]");
       }
     }
     tell_changes();
     std::erase_if(watches, [](const Watch& w) { return w.wire.ended; });
-    for (Line& line : calls) some |= serve(line);
+    for (Line& line : calls)
+      some |= serve(line);
     return some;
   }
 
@@ -143,16 +156,20 @@
       too_late += closed_to_it && got.starts_with("POST");
     }
     line.parser.feed(got);
-    while (auto m = line.parser.next()) heard(line, *m);
+    while (auto m = line.parser.next())
+      heard(line, *m);
     // A close before the 202 gives the attempt up.
-    if (!before && line.wire.ended && !line.taken && out == line.id) out.clear();
+    if (!before && line.wire.ended && !line.taken && out == line.id)
+      out.clear();
     return !got.empty() || before != line.wire.ended;
   }
 
   void heard(Line& line, const protocol::Message& m) {
-    std::string id = m.method == "DELETE" ? m.target.substr(6) : std::string(m.header("X-Correlation-Id"));
+    std::string id =
+        m.method == "DELETE" ? m.target.substr(6) : std::string(m.header("X-Correlation-Id"));
     if (m.method == "DELETE") {
-      if (out == id) out.clear();
+      if (out == id)
+        out.clear();
       return line.wire.say("HTTP/1.1 204 No Content\r\n\r\n");
     }
     line.id = id, ++begun;
@@ -160,9 +177,11 @@
     twice += !out.empty() && out == id;
     // What was left to its client when it went out, at the most; a further attempt too.
     double told = std::stod(std::string(m.header("X-Time-Left-Ms")));
-    told_over = std::max(told_over, told - (handed_in[id] + transport::Duration(5000) - line.began).count());
+    told_over = std::max(told_over,
+                         told - (handed_in[id] + transport::Duration(5000) - line.began).count());
     out = id;
-    if (!good) return;
+    if (!good)
+      return;
     line.wire.say(kTaken), line.taken = true;
     tell(news_three(), "done", id);
     out.clear(), served = true;
@@ -198,17 +217,31 @@
 
 const std::vector<Event>& events() {
   auto ends = [](Scene& s, bool given_up) {  // the first attempt, by the worker's word
-    if (s.out == "00000000000000a1" && (given_up || !s.calls.front().taken)) s.out.clear();
+    if (s.out == "00000000000000a1" && (given_up || !s.calls.front().taken))
+      s.out.clear();
   };
   static const std::vector<Event> all = {
-      {"the client ends", [](Scene& s) { s.client.finish(), s.client_left = true; }},
-      {"the client resets", [](Scene& s) { s.client.reset(), s.client_left = true; }},
-      {"the client sends ahead", [](Scene& s) { s.command(s.client, kAhead); }},
-      {"202", [](Scene& s) { s.calls.front().wire.say(Scene::kTaken), s.calls.front().taken = true; }},
+      {"the client ends",
+       [](Scene& s) {
+         s.client.finish(), s.client_left = true;
+       }},
+      {"the client resets",
+       [](Scene& s) {
+         s.client.reset(), s.client_left = true;
+       }},
+      {"the client sends ahead",
+       [](Scene& s) {
+         s.command(s.client, kAhead);
+       }},
+      {"202",
+       [](Scene& s) {
+         s.calls.front().wire.say(Scene::kTaken), s.calls.front().taken = true;
+       }},
       {"handed back",
        [ends](Scene& s) {
          Scene::Line& line = s.calls.front();
-         if (!line.id.empty() && !line.taken && !line.answered && !line.broken) --s.may_have_run;
+         if (!line.id.empty() && !line.taken && !line.answered && !line.broken)
+           --s.may_have_run;
          line.answered = true;
          line.wire.say("HTTP/1.1 503 Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
          ends(s, false);
@@ -220,9 +253,13 @@
          ends(s, false);
        }},
       {"the worker ends its connection",
-       [ends](Scene& s) { s.calls.front().wire.close(), s.calls.front().broken = true, ends(s, false); }},
+       [ends](Scene& s) {
+         s.calls.front().wire.close(), s.calls.front().broken = true, ends(s, false);
+       }},
       {"the worker resets it",
-       [ends](Scene& s) { s.calls.front().wire.reset(), s.calls.front().broken = true, ends(s, false); }},
+       [ends](Scene& s) {
+         s.calls.front().wire.reset(), s.calls.front().broken = true, ends(s, false);
+       }},
       {"done",
        [ends](Scene& s) {
          s.tell(s.news_one, "done", "00000000000000a1");
@@ -232,11 +269,26 @@
        [ends](Scene& s) {
          s.tell(s.news_two, "failed", "00000000000000a1"), s.said_failed = true, ends(s, true);
        }},
-      {"the worker is leaving", [](Scene& s) { s.change("draining"); }},
-      {"the worker is removed", [](Scene& s) { s.change("removed"); }},
-      {"the worker has restarted", [](Scene& s) { s.change("up", 7000); }},
-      {"SIGTERM", [](Scene& s) { s.app->terminate(); }},
-      {"the client's time is up", [](Scene& s) { s.clock.at += transport::Duration(5000); }},
+      {"the worker is leaving",
+       [](Scene& s) {
+         s.change("draining");
+       }},
+      {"the worker is removed",
+       [](Scene& s) {
+         s.change("removed");
+       }},
+      {"the worker has restarted",
+       [](Scene& s) {
+         s.change("up", 7000);
+       }},
+      {"SIGTERM",
+       [](Scene& s) {
+         s.app->terminate();
+       }},
+      {"the client's time is up",
+       [](Scene& s) {
+         s.clock.at += transport::Duration(5000);
+       }},
   };
   return all;
 }
@@ -245,22 +297,28 @@
   protocol::Parser parser(protocol::Parser::Kind::Response);
   parser.feed(bytes);
   std::vector<int> out;
-  while (auto m = parser.next()) out.push_back(m->status);
+  while (auto m = parser.next())
+    out.push_back(m->status);
   CHECK(parser.idle());  // nothing is cut
   return out;
 }
 
 enum class Order { OneTurn, Apart };
 
-void play(const std::string& klass, Stage stage, const Event& first, const Event& second, Order order) {
+void play(const std::string& klass, Stage stage, const Event& first, const Event& second,
+          Order order) {
   Scene s(klass, stage);
-  auto leaves = [](const Event& e) { return std::string_view(e.name).starts_with("the worker is "); };
+  auto leaves = [](const Event& e) {
+    return std::string_view(e.name).starts_with("the worker is ");
+  };
   first.happens(s);
-  if (order == Order::Apart) s.settle(), s.closed_to_it = leaves(first);
+  if (order == Order::Apart)
+    s.settle(), s.closed_to_it = leaves(first);
   second.happens(s);
   int begun_before_left = s.begun;
   // What has not been read before the clock moved came, for the program, when it was.
-  if (order == Order::OneTurn && s.handed_in.contains(kAhead)) s.handed_in[kAhead] = s.clock.at;
+  if (order == Order::OneTurn && s.handed_in.contains(kAhead))
+    s.handed_in[kAhead] = s.clock.at;
   while (!s.at_rest()) {
   }
   s.settle();
@@ -282,19 +340,25 @@
   } else {
     std::size_t wanted = ahead ? 2 : 1;
     // A close between two requests lets the client send the second again elsewhere.
-    if (!(s.client.ended && got.size() == 1)) CHECK(got.size() == wanted);
+    if (!(s.client.ended && got.size() == 1))
+      CHECK(got.size() == wanted);
     REQUIRE(!got.empty());
-    if (got[0] == 200) CHECK(s.served);
+    if (got[0] == 200)
+      CHECK(s.served);
     CHECK((got[0] == 200 || got[0] == 502 || got[0] == 503));
-    if (got[0] == 503) CHECK(s.may_have_run == 0);             // a refusal says so
-    if (got[0] == 502) CHECK((s.begun > 0 || s.said_failed));  // what has not begun is refused
+    if (got[0] == 503)
+      CHECK(s.may_have_run == 0);  // a refusal says so
+    if (got[0] == 502)
+      CHECK((s.begun > 0 || s.said_failed));  // what has not begun is refused
   }
   // Nothing is left over once all have gone.
   s.client.close(), s.news_one.close(), s.news_two.close(), s.more_news.clear();
-  for (Scene::Line& line : s.calls) line.wire.close();
+  for (Scene::Line& line : s.calls)
+    line.wire.close();
   s.pass(3000);
   CHECK(s.network.accepted() == 0);
-  REQUIRE(fcntl(testing::kMostDescriptors - 1, F_GETFD) < 0);  // none beyond what at_rest() looks at
+  REQUIRE(fcntl(testing::kMostDescriptors - 1, F_GETFD) <
+          0);  // none beyond what at_rest() looks at
   CHECK(Scene::open_descriptors() <= s.descriptors);
   CHECK(s.deadlines.size() <= s.waiting);
 }
@@ -303,7 +367,8 @@
   for (Stage stage : {Stage::Held, Stage::Sent, Stage::Taken})
     for (const Event& first : events())
       for (const Event& second : events()) {
-        if (&first == &second) continue;
+        if (&first == &second)
+          continue;
         for (Order order : {Order::OneTurn, Order::Apart}) {
           INFO("stage " << static_cast<int>(stage) << ": " << first.name
                         << (order == Order::OneTurn ? ", and in the same turn: " : ", then: ")
--- a/tests/net/exchanges_test.cpp
+++ b/tests/net/exchanges_test.cpp
@@ -14,10 +14,12 @@
                                     "streams", "upload", "long_upload", "reply"};
   std::set<std::string> names;
   for (const auto& entry : std::filesystem::directory_iterator(folder + "/exchanges"))
-    if (entry.path().extension() == ".txt") names.insert(entry.path().stem().string());
+    if (entry.path().extension() == ".txt")
+      names.insert(entry.path().stem().string());
   REQUIRE(names.size() > parts.size());
   for (const std::string& name : names) {
-    if (parts.contains(name)) continue;
+    if (parts.contains(name))
+      continue;
     SECTION(name) {
       testing::Player player(folder);
       try {
--- a/tests/net/fleet_process_test.cpp
+++ b/tests/net/fleet_process_test.cpp
@@ -1,6 +1,6 @@
-// A fleet of the program's own processes, broken from outside: SIGKILL, SIGSTOP, SIGTERM, and relays on every
-// path between them. Orders run throughout, each gets one answer, and the verdict comes with events: a test
-// waits for what must come, however long the machine takes.
+// A fleet of the program's own processes, broken from outside: SIGKILL, SIGSTOP, SIGTERM, and
+// relays on every path between them. Orders run throughout, each gets one answer, and the verdict
+// comes with events: a test waits for what must come, however long the machine takes.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <chrono>
@@ -30,12 +30,14 @@
   std::map<std::string, unsigned> incarnations(int i) {
     Json::Value v = view(i);
     std::map<std::string, unsigned> out{{v["self"].asString(), v["incarnation"].asUInt()}};
-    for (const Json::Value& m : v["members"]) out[m["member"].asString()] = m["incarnation"].asUInt();
+    for (const Json::Value& m : v["members"])
+      out[m["member"].asString()] = m["incarnation"].asUInt();
     return out;
   }
   bool any_log_says(const std::string& text) {
     for (int i : up())
-      if (member(i).log().find(text) != std::string::npos) return true;
+      if (member(i).log().find(text) != std::string::npos)
+        return true;
     return false;
   }
 };
@@ -44,7 +46,8 @@
 
 TEST_CASE("a join, a crash, a restart and a farewell reach all members") {
   Eight f;
-  for (int i = 0; i < kMembers - 1; ++i) f.start(i);
+  for (int i = 0; i < kMembers - 1; ++i)
+    f.start(i);
   f.settles();
   f.orders_begin({0, 1});
   f.start(kMembers - 1);
@@ -54,15 +57,18 @@
   CHECK(f.states(f.view(0))["dead"] == 1);
   f.start(3);  // knows nothing of before
   f.settles();
-  std::string command = std::string(std::getenv("OATLEDGE")) + " fleet --ops " + f.member(0).operators();
+  std::string command =
+      std::string(std::getenv("OATLEDGE")) + " fleet --ops " + f.member(0).operators();
   auto print = [](const std::string& line_of_shell) {
     FILE* table = popen(line_of_shell.c_str(), "r");
     std::string printed;
-    for (char line[256]; std::fgets(line, sizeof line, table);) printed += line;
+    for (char line[256]; std::fgets(line, sizeof line, table);)
+      printed += line;
     CHECK(pclose(table) == 0);
     return printed;
   };
-  // Between two looks that agree: on a busy machine somebody may be suspected for a moment meanwhile.
+  // Between two looks that agree: on a busy machine somebody may be suspected for a moment
+  // meanwhile.
   std::string printed, digest;
   f.wait([&] {
     digest = f.view(0)["digest"].asString();
@@ -71,9 +77,8 @@
   });
   CHECK(printed.find("digest " + digest) != std::string::npos);
   CHECK(std::ranges::count(printed, '\n') == 2 + kMembers - 1);
-  CHECK(
-      std::system((std::string(std::getenv("OATLEDGE")) + " fleet --ops 127.0.0.1:1 2>/dev/null").c_str()) ==
-      1 << 8);
+  CHECK(std::system((std::string(std::getenv("OATLEDGE")) + " fleet --ops 127.0.0.1:1 2>/dev/null")
+                        .c_str()) == 1 << 8);
   CHECK(f.leave(4) == 0);
   f.wait([&] { return f.states(f.view(0))["left"] == 1; });
   f.settles();
@@ -90,8 +95,10 @@
   FILE* table = popen((command + " --watch 0.1 2>/dev/null").c_str(), "r");
   bool killed = false, seen = false;
   for (char line[256]; std::fgets(line, sizeof line, table);) {
-    if (!std::exchange(killed, true)) f.crash(5);
-    if (!seen && (seen = std::string_view(line).find("  dead ") != std::string_view::npos)) f.crash(0);
+    if (!std::exchange(killed, true))
+      f.crash(5);
+    if (!seen && (seen = std::string_view(line).find("  dead ") != std::string_view::npos))
+      f.crash(0);
   }
   CHECK(seen);
   CHECK(pclose(table) == 1 << 8);
@@ -104,9 +111,11 @@
   f.start_all();
   f.settles();
   f.orders_begin({0, 1});
-  for (int i : {4, 5, 6, 7}) f.crash(i);
+  for (int i : {4, 5, 6, 7})
+    f.crash(i);
   f.settles();
-  for (int i : {4, 5, 6, 7}) f.start(i);
+  for (int i : {4, 5, 6, 7})
+    f.start(i);
   f.settles();
   f.all_answered();
 }
@@ -117,9 +126,11 @@
   f.settles();
   f.orders_begin({0, 5});
   using Groups = std::vector<std::vector<int>>;
-  for (const Groups& groups : {Groups{{0, 1, 2, 3}, {4, 5, 6, 7}}, Groups{{0}, {1, 2, 3, 4, 5, 6, 7}}}) {
+  for (const Groups& groups :
+       {Groups{{0, 1, 2, 3}, {4, 5, 6, 7}}, Groups{{0}, {1, 2, 3, 4, 5, 6, 7}}}) {
     f.relays().split(groups);
-    for (const auto& group : groups) f.wait([&] { return f.agree({group.begin(), group.end()}); });
+    for (const auto& group : groups)
+      f.wait([&] { return f.agree({group.begin(), group.end()}); });
     CHECK_FALSE(f.agree(f.up()));  // each side holds the other dead
     f.relays().set_all({});
     f.settles();
@@ -128,18 +139,22 @@
 }
 
 TEST_CASE(
-    "a path cut one way, overlapping halves, and a fifth of all messages lost, late or spoilt leave all "
+    "a path cut one way, overlapping halves, and a fifth of all messages lost, late or spoilt "
+    "leave all "
     "alive") {
   Eight f;
   f.start_all();
   f.settles();
   f.orders_begin({0, 1});
-  // The fault stays until all have probed all several times over, and under it they come to agree that all
-  // are alive. Not that nobody was held dead for a moment: on a machine that is busy enough anybody may be.
+  // The fault stays until all have probed all several times over, and under it they come to agree
+  // that all are alive. Not that nobody was held dead for a moment: on a machine that is busy
+  // enough anybody may be.
   auto agree_all_the_same = [&] {
     std::map<int, std::uint64_t> before;
-    for (int i : f.up()) before[i] = f.view(i)["sent"].asUInt64();
-    for (int i : f.up()) f.wait([&] { return f.view(i)["sent"].asUInt64() > before[i] + 4 * kMembers; });
+    for (int i : f.up())
+      before[i] = f.view(i)["sent"].asUInt64();
+    for (int i : f.up())
+      f.wait([&] { return f.view(i)["sent"].asUInt64() > before[i] + 4 * kMembers; });
     f.settles();
   };
   f.relays().set(2, 3, {.cut = true});
@@ -160,15 +175,18 @@
   f.settles();
   f.orders_begin({0, 1});
   auto before = f.incarnations(5);
-  // A process that inherits nothing takes the second of its start, which must be another one to show.
+  // A process that inherits nothing takes the second of its start, which must be another one to
+  // show.
   unsigned own = f.view(5)["incarnation"].asUInt();
   f.wait([&] {
-    return std::chrono::system_clock::now() >= std::chrono::sys_seconds(std::chrono::seconds(own + 1));
+    return std::chrono::system_clock::now() >=
+           std::chrono::sys_seconds(std::chrono::seconds(own + 1));
   });
   REQUIRE(f.member(5).start_beside());
   f.settles();
-  // What was known went over: of each member the very incarnation of before. On a busy machine anybody may
-  // come to be suspected for a moment, and refutes that with the next one; no other step up is right.
+  // What was known went over: of each member the very incarnation of before. On a busy machine
+  // anybody may come to be suspected for a moment, and refutes that with the next one; no other
+  // step up is right.
   auto after = f.incarnations(5);
   CHECK(after.size() == before.size());
   for (const auto& [who, incarnation] : after) {
@@ -180,7 +198,8 @@
   }
   CHECK(f.member(5).end_old() == 0);
   f.settles();
-  for (int i = 0; i < kMembers; ++i) CHECK(f.member(i).log().find("is left") == std::string::npos);
+  for (int i = 0; i < kMembers; ++i)
+    CHECK(f.member(i).log().find("is left") == std::string::npos);
   f.all_answered();
 }
 
@@ -210,17 +229,21 @@
   f.orders_begin({0, 1});
   CHECK(f.view(0)["sealed"].asBool());
   std::map<int, std::uint64_t> incarnations;
-  for (int i : f.up()) incarnations[i] = f.view(i)["incarnation"].asUInt64();
+  for (int i : f.up())
+    incarnations[i] = f.view(i)["incarnation"].asUInt64();
   for (const std::string& text : {one + two, two + one, two}) {
     for (int i : f.up()) {
       std::uint64_t before = f.view(0)["sent"].asUInt64();
       f.keys(i, text);
       if (i == 3)
-        f.wait([&] { return f.view(0)["sent"].asUInt64() > before + 16; });  // half of them hold another
+        f.wait([&] {
+          return f.view(0)["sent"].asUInt64() > before + 16;
+        });  // half of them hold another
     }
     f.settles();
   }
-  for (int i : f.up()) CHECK(f.states(f.view(i))["dead"] == 0);
+  for (int i : f.up())
+    CHECK(f.states(f.view(i))["dead"] == 0);
   f.keys(7, foreign);
   std::set<int> others = {0, 1, 2, 3, 4, 5, 6};
   f.wait([&] { return f.agree(others); });
@@ -232,14 +255,16 @@
 }
 
 TEST_CASE(
-    "what was recorded of a fleet counts for nothing when it is played again, and strangers are not heard") {
+    "what was recorded of a fleet counts for nothing when it is played again, and strangers are "
+    "not heard") {
   ProcessFleet::Setup s = setup();
   s.keys = "key { id: 1 secret: \"" + std::string(64, 'a') + "\" }\n";
   Eight f(s);
   f.start_all();
   f.settles();
   f.orders_begin({0, 1});
-  f.relays().set_all({.twice = 1});  // each datagram comes again, from the address that it came from
+  f.relays().set_all(
+      {.twice = 1});  // each datagram comes again, from the address that it came from
   f.wait([&] { return f.view(0)["dropped"]["came before"].asUInt() > 40; });
   f.relays().set_all({.spoilt = 0.5});
   f.wait([&] { return f.view(0)["dropped"]["wrong hash"].asUInt() > 10; });
@@ -249,7 +274,8 @@
 }
 
 TEST_CASE(
-    "members that know two seeds alone find all others, also after a seed has died, and forget the dead") {
+    "members that know two seeds alone find all others, also after a seed has died, and forget the "
+    "dead") {
   ProcessFleet::Setup s = setup();
   s.seeds = 2, s.forget_s = 10;
   Eight f(s);
--- a/tests/net/fleet_test.cpp
+++ b/tests/net/fleet_test.cpp
@@ -11,13 +11,16 @@
 
 constexpr int kFleet = 100;
 
-std::string worker(int i) { return "s-" + std::to_string(i); }
+std::string worker(int i) {
+  return "s-" + std::to_string(i);
+}
 
 // The first worker that dispatcher `self` is near to.
 std::string near_worker(int self) {
   for (int i = 0;; ++i) {
     auto near = near_to(worker(i), kFleet);
-    if (std::count(near.begin(), near.end(), self)) return worker(i);
+    if (std::count(near.begin(), near.end(), self))
+      return worker(i);
   }
 }
 
@@ -28,11 +31,15 @@
   return messages.empty() ? std::string() : messages[0].bytes;
 }
 
-Time at(double ms) { return Time(Duration(ms)); }
+Time at(double ms) {
+  return Time(Duration(ms));
+}
 
 struct Heard {
   std::map<std::string, int> jobs;
-  Loads::Changed changed = [this](const std::string& worker, int n) { jobs[worker] = n; };
+  Loads::Changed changed = [this](const std::string& worker, int n) {
+    jobs[worker] = n;
+  };
 };
 
 // A dispatcher, the worker it is near to, and what two others that are near say of it.
@@ -52,7 +59,8 @@
   for (int i = 0; i < 600; ++i) {
     auto near = near_to(worker(i), kFleet);
     REQUIRE(std::set<int>(near.begin(), near.end()).size() == 8);
-    for (int d : near) ++of_each[d];
+    for (int d : near)
+      ++of_each[d];
   }
   for (int d = 0; d < kFleet; ++d) {  // 48 on average
     CHECK(of_each[d] > 20);
@@ -77,13 +85,15 @@
     receiver.list({t.w}, heard.changed);
     CHECK(receiver.take(at(0), 0, two, heard.changed));
     bool near = std::count(t.others.begin(), t.others.end(), d) > 0;
-    CHECK(heard.jobs == (near ? std::map<std::string, int>{{t.w, 2}} : std::map<std::string, int>{}));
+    CHECK(heard.jobs ==
+          (near ? std::map<std::string, int>{{t.w, 2}} : std::map<std::string, int>{}));
   }
 }
 
 TEST_CASE("the latest number of each sender counts, and none for ever") {
   Three t;
-  std::string three = tells(t.first, 0, t.w, 3), one = tells(t.second, 0, t.w, 1), none = tells(t.second, 1, t.w, 0);
+  std::string three = tells(t.first, 0, t.w, 3), one = tells(t.second, 0, t.w, 1),
+              none = tells(t.second, 1, t.w, 0);
   auto take = [&](double ms, int sender, const std::string& message) {
     CHECK(t.self.take(at(ms), t.others[sender], message, t.heard.changed));
     return t.heard.jobs.at(t.w);
@@ -104,14 +114,15 @@
   a.list({"s-1", "s-2", "s-3"}, heard.changed), b.list({"s-1", "s-2", "s-3"}, at_b.changed);
   auto hear = [&](const std::vector<Loads::Message>& messages) {
     for (const auto& m : messages)
-      if (m.to == 1) CHECK(b.take(at(0), 0, m.bytes, at_b.changed));
+      if (m.to == 1)
+        CHECK(b.take(at(0), 0, m.bytes, at_b.changed));
     return messages.size();
   };
   auto have = [&](double ms, const std::string& w, int jobs) {
     a.have(at(ms), w, jobs);
     return hear(a.due(at(ms)));
   };
-  CHECK(have(0, "s-1", 2) == 2);  // one to each of the others
+  CHECK(have(0, "s-1", 2) == 2);   // one to each of the others
   CHECK(have(10, "s-1", 1) == 2);  // nobody is known to be idle: somebody may wait for the slot
   CHECK(have(20, "s-2", 1) == 2);
   CHECK(have(30, "s-2", 0) == 0);  // s-2 has nothing to do now
@@ -156,9 +167,11 @@
   Loads a(0, 2);
   Heard heard;
   std::vector<std::string> all;
-  for (int i = 0; i < 200; ++i) all.push_back(worker(i));
+  for (int i = 0; i < 200; ++i)
+    all.push_back(worker(i));
   a.list(all, heard.changed);
-  for (const std::string& w : all) a.have(at(0), w, 1);
+  for (const std::string& w : all)
+    a.have(at(0), w, 1);
   std::size_t told = 0;
   for (const auto& m : a.due(at(0), 223)) {
     CHECK(m.bytes.size() <= 223);
@@ -171,7 +184,8 @@
   Three t;
   std::string good = tells(t.first, 0, t.w, 3), wrong_version = good + good, too_long;
   wrong_version[3] = static_cast<char>(2 << 4 | 1);
-  while (too_long.size() <= kLongest) too_long += good;
+  while (too_long.size() <= kLongest)
+    too_long += good;
   for (const std::string& bad : {std::string(), good.substr(0, 1), good.substr(0, 2), good + "x",
                                  wrong_version, too_long, std::string(255, '\0')})
     CHECK_FALSE(t.self.take(at(0), t.others[0], bad, t.heard.changed));
@@ -180,7 +194,8 @@
 
 TEST_CASE("no single dispatcher can make the fleet look full") {
   std::vector<std::string> all;
-  for (int i = 0; i < 600; ++i) all.push_back(worker(i));
+  for (int i = 0; i < 600; ++i)
+    all.push_back(worker(i));
   Loads a(0, kFleet);
   Heard heard;
   a.list(all, heard.changed);
@@ -191,6 +206,7 @@
     CHECK(a.take(at(0), 1, tells(twin, 0, w, 15), heard.changed));
   }
   int believed = 0;
-  for (const auto& [w, n] : heard.jobs) believed += n;
+  for (const auto& [w, n] : heard.jobs)
+    believed += n;
   CHECK(believed == kMostOfOne);
 }
--- a/tests/net/handover_test.cpp
+++ b/tests/net/handover_test.cpp
@@ -1,6 +1,6 @@
-// Upgrades. First who takes new jobs, over every order of what can happen to the two processes and their
-// link; then the program as two processes, between stand-ins on real sockets, with verdicts by order and
-// count.
+// Upgrades. First who takes new jobs, over every order of what can happen to the two processes and
+// their link; then the program as two processes, between stand-ins on real sockets, with verdicts
+// by order and count.
 #include <signal.h>
 
 #include <atomic>
@@ -20,8 +20,8 @@
 
 namespace {
 
-// The two sides and the link between them, as the program joins them. `accepting` is what a side does with
-// the listening socket.
+// The two sides and the link between them, as the program joins them. `accepting` is what a side
+// does with the listening socket.
 struct World {
   enum class Said { Hello, Welcome, Refusal, Ready, Yours, News, Garbage };
   Elder elder{{"n0", "a:1"}};
@@ -33,86 +33,127 @@
 
   void cut() {  // by whichever side; each hears of it in its own time, after what was on its way
     linked = false;
-    if (elder_lives) elder_heard_end = false;
-    if (heir_lives) heir_heard_end = false;
+    if (elder_lives)
+      elder_heard_end = false;
+    if (heir_lives)
+      heir_heard_end = false;
   }
   void act(Elder::Do what) {
     switch (what) {
-      case Elder::Do::Nothing: return;
-      case Elder::Do::Welcome: return say(to_heir, Said::Welcome);
-      case Elder::Do::Refuse: return say(to_heir, Said::Refusal);
-      case Elder::Do::Yield: elder_accepts = false; return say(to_heir, Said::Yours);
-      case Elder::Do::TakeBack: elder_accepts = true; return;
-      case Elder::Do::HangUp: cut(), elder_heard_end = true, to_elder.clear(); return;
+      case Elder::Do::Nothing:
+        return;
+      case Elder::Do::Welcome:
+        return say(to_heir, Said::Welcome);
+      case Elder::Do::Refuse:
+        return say(to_heir, Said::Refusal);
+      case Elder::Do::Yield:
+        elder_accepts = false;
+        return say(to_heir, Said::Yours);
+      case Elder::Do::TakeBack:
+        elder_accepts = true;
+        return;
+      case Elder::Do::HangUp:
+        cut(), elder_heard_end = true, to_elder.clear();
+        return;
     }
   }
   void act(Heir::Do what) {
     switch (what) {
-      case Heir::Do::Nothing: return;
-      case Heir::Do::SayReady: return say(to_elder, Said::Ready);
+      case Heir::Do::Nothing:
+        return;
+      case Heir::Do::SayReady:
+        return say(to_elder, Said::Ready);
       case Heir::Do::Serve:
-      case Heir::Do::ServeAlone: heir_accepts = true; return;
-      case Heir::Do::HangUp: cut(), heir_heard_end = true, to_heir.clear(); return act(heir.ended());
-      case Heir::Do::AskAgain: heir_waits = true; return;
+      case Heir::Do::ServeAlone:
+        heir_accepts = true;
+        return;
+      case Heir::Do::HangUp:
+        cut(), heir_heard_end = true, to_heir.clear();
+        return act(heir.ended());
+      case Heir::Do::AskAgain:
+        heir_waits = true;
+        return;
     }
   }
   void say(std::deque<Said>& to, Said what) {
-    if (linked) to.push_back(what);
+    if (linked)
+      to.push_back(what);
   }
   // What can happen next; false: that cannot happen now.
   bool step(int what) {
     switch (what) {
       case 0:  // the heir asks
-        if (!heir_lives || !heir_waits) return false;
+        if (!heir_lives || !heir_waits)
+          return false;
         heir_waits = false;
-        if (!elder_lives) return act(heir.nobody()), true;
-        if (!elder.free() || !elder_heard_end) return heir_waits = true, false;  // hung up on; it asks again
+        if (!elder_lives)
+          return act(heir.nobody()), true;
+        if (!elder.free() || !elder_heard_end)
+          return heir_waits = true, false;  // hung up on; it asks again
         linked = true, to_elder.clear(), to_heir.clear();
         say(to_elder, Said::Hello);
         return true;
       case 1: {  // the elder hears something
-        if (!elder_lives || to_elder.empty()) return false;
+        if (!elder_lives || to_elder.empty())
+          return false;
         Said s = to_elder.front();
         to_elder.pop_front();
-        if (s == Said::Hello) act(elder.hello(handover::kVersion, {"n0", "a:1"}));
-        else if (s == Said::Ready) act(elder.ready());
-        else if (s == Said::Garbage) act(elder.nonsense());
+        if (s == Said::Hello)
+          act(elder.hello(handover::kVersion, {"n0", "a:1"}));
+        else if (s == Said::Ready)
+          act(elder.ready());
+        else if (s == Said::Garbage)
+          act(elder.nonsense());
         return true;
       }
       case 2: {  // the heir hears something
-        if (!heir_lives || to_heir.empty()) return false;
+        if (!heir_lives || to_heir.empty())
+          return false;
         Said s = to_heir.front();
         to_heir.pop_front();
-        if (s == Said::Welcome) act(heir.welcome());
-        else if (s == Said::Yours) act(heir.yours());
-        else if (s == Said::Garbage) act(heir.nonsense());
+        if (s == Said::Welcome)
+          act(heir.welcome());
+        else if (s == Said::Yours)
+          act(heir.yours());
+        else if (s == Said::Garbage)
+          act(heir.nonsense());
         return true;
       }
-      case 3: return heir_lives && !kill(heir_lives, heir_accepts);
-      case 4: return elder_lives && !kill(elder_lives, elder_accepts);
+      case 3:
+        return heir_lives && !kill(heir_lives, heir_accepts);
+      case 4:
+        return elder_lives && !kill(elder_lives, elder_accepts);
       case 5:  // the end of the link is heard, after all that came before it
-        if (!elder_lives || elder_heard_end || !to_elder.empty()) return false;
+        if (!elder_lives || elder_heard_end || !to_elder.empty())
+          return false;
         return elder_heard_end = true, act(elder.ended()), true;
       case 6:
-        if (!heir_lives || heir_heard_end || !to_heir.empty()) return false;
+        if (!heir_lives || heir_heard_end || !to_heir.empty())
+          return false;
         return heir_heard_end = true, act(heir.ended()), true;
-      case 7: return garble(to_elder);
-      case 8: return garble(to_heir);
+      case 7:
+        return garble(to_elder);
+      case 8:
+        return garble(to_heir);
       case 9:  // what the two talk about once the heir serves
-        if (!linked || heir.state() != Heir::State::Serving || !to_elder.empty()) return false;
+        if (!linked || heir.state() != Heir::State::Serving || !to_elder.empty())
+          return false;
         return say(to_elder, Said::News), true;
       default:
-        if (!linked || elder.state() != Elder::State::Yielded || to_heir.size() > 1) return false;
+        if (!linked || elder.state() != Elder::State::Yielded || to_heir.size() > 1)
+          return false;
         return say(to_heir, Said::News), true;
     }
   }
   bool kill(bool& lives, bool& accepts) {
     lives = accepts = false;
-    if (linked) cut();
+    if (linked)
+      cut();
     return false;
   }
   bool garble(std::deque<Said>& queue) {
-    if (queue.empty() || queue.front() == Said::Garbage) return false;
+    if (queue.empty() || queue.front() == Said::Garbage)
+      return false;
     queue.front() = Said::Garbage;
     return true;
   }
@@ -120,7 +161,8 @@
 
 }  // namespace
 
-// Depth first over all that can happen, with each side dying and each message garbled at every point.
+// Depth first over all that can happen, with each side dying and each message garbled at every
+// point.
 TEST_CASE("at no moment do both processes take new jobs, and in the end one that lives does") {
   long worlds = 0;
   std::function<void(const World&, int, int)> go = [&](const World& w, int depth, int troubles) {
@@ -129,15 +171,21 @@
     // Left alone from here, whoever lives takes jobs.
     World rest = w;
     for (int i = 0; i < 100; ++i)
-      for (int what : {5, 6, 1, 2, 0}) rest.step(what);
-    if (rest.elder_lives || rest.heir_lives) REQUIRE((rest.elder_accepts != rest.heir_accepts));
-    if (w.elder_lives && w.heir_lives && troubles == 0) REQUIRE(rest.heir_accepts);
-    if (depth == 0) return;
+      for (int what : {5, 6, 1, 2, 0})
+        rest.step(what);
+    if (rest.elder_lives || rest.heir_lives)
+      REQUIRE((rest.elder_accepts != rest.heir_accepts));
+    if (w.elder_lives && w.heir_lives && troubles == 0)
+      REQUIRE(rest.heir_accepts);
+    if (depth == 0)
+      return;
     for (int what = 0; what <= 10; ++what) {
       bool trouble = what == 3 || what == 4 || what == 7 || what == 8;
-      if (trouble && troubles == 3) continue;
+      if (trouble && troubles == 3)
+        continue;
       World next = w;
-      if (next.step(what)) go(next, depth - 1, troubles + trouble);
+      if (next.step(what))
+        go(next, depth - 1, troubles + trouble);
     }
   };
   go(World(), 11, 0);
@@ -168,8 +216,8 @@
 
 struct Scene {
   Fleet fleet{own_host(), 3};
-  Dispatcher dispatcher{{environment("OATLEDGE"), environment("OATLEDGE_CONFIG"), "", own_host(), 1024, true},
-                        fleet};
+  Dispatcher dispatcher{
+      {environment("OATLEDGE"), environment("OATLEDGE_CONFIG"), "", own_host(), 1024, true}, fleet};
   std::atomic<std::uint64_t> ids{1};
 
   Order order(const std::string& query = "news=1&work=3") {
@@ -179,23 +227,27 @@
   }
   std::map<std::string, int> begun() {
     std::map<std::string, int> counts;
-    for (const Seen& s : fleet.seen()) counts[s.id] += s.begun;
+    for (const Seen& s : fleet.seen())
+      counts[s.id] += s.begun;
     return counts;
   }
   template <class Done>
   void until(Done done) {  // a test that hangs here is ended by the test runner
-    while (!done()) std::this_thread::sleep_for(std::chrono::milliseconds(5));
+    while (!done())
+      std::this_thread::sleep_for(std::chrono::milliseconds(5));
   }
   Call stats(const std::string& operators) { return call(operators, "GET", "/admin/stats"); }
   bool logged(const std::string& text) { return dispatcher.log().find(text) != std::string::npos; }
 };
 
-const std::string kServed = "dispatcher.operations.place-order.fulfilled", kRelayed = "dispatcher.relayed";
+const std::string kServed = "dispatcher.operations.place-order.fulfilled",
+                  kRelayed = "dispatcher.relayed";
 
 }  // namespace
 
 TEST_CASE(
-    "three upgrades under orders: each gets one answer, none begins twice, no connection ends, figures add "
+    "three upgrades under orders: each gets one answer, none begins twice, no connection ends, "
+    "figures add "
     "up") {
   Scene s;
   std::atomic<bool> over{false};
@@ -226,29 +278,34 @@
     CHECK(s.dispatcher.end_old() == 0);
   }
   over = true;
-  for (std::thread& t : clients) t.join();
+  for (std::thread& t : clients)
+    t.join();
   keep(s.dispatcher.operators());
   CHECK(other == 0);
   CHECK(fulfilled == served);
   auto begun = s.begun();
   CHECK(begun.size() == static_cast<std::size_t>(served));
   CHECK(relayed == served);
-  for (const auto& [id, n] : begun) CHECK(n == 1);
+  for (const auto& [id, n] : begun)
+    CHECK(n == 1);
 }
 
 TEST_CASE("what is half sent goes along, and a job's call-back finds its process") {
   Scene s;
-  Regular half(s.dispatcher.address()), silent(s.dispatcher.address()), busy(s.dispatcher.address());
+  Regular half(s.dispatcher.address()), silent(s.dispatcher.address()),
+      busy(s.dispatcher.address());
   CHECK(half.hand_in(s.order()).status == 200);
   half.begin("POST /api?news=1 HTTP/1.1\r\nX-Correlation-Id: 00000000000f0001\r\nX-Service-Cl");
-  // Its job begins at the old process and ends after the change; the order worker calls the address that both
-  // share.
+  // Its job begins at the old process and ends after the change; the order worker calls the address
+  // that both share.
   std::thread slow([&] { CHECK(busy.hand_in(s.order("news=1&work=1500")).status == 200); });
-  s.until([&] { return s.stats(s.dispatcher.operators()).figure("dispatcher.open_requests") == 1; });
+  s.until(
+      [&] { return s.stats(s.dispatcher.operators()).figure("dispatcher.open_requests") == 1; });
   REQUIRE(s.dispatcher.start_beside());
   CHECK(s.stats(s.dispatcher.operators()).figure("dispatcher.open_requests") == 0);
   half.begin(
-      "ass: place-order\r\nX-Account: lanting-bento\r\nX-Time-Left-Ms: 5000\r\nContent-Length: 4\r\n\r\nhe");
+      "ass: place-order\r\nX-Account: lanting-bento\r\nX-Time-Left-Ms: 5000\r\nContent-Length: "
+      "4\r\n\r\nhe");
   half.begin("lf");
   s.until([&] { return s.begun().contains("00000000000f0001"); });
   CHECK(silent.hand_in(s.order()).status == 200);
@@ -274,24 +331,28 @@
   CHECK(s.stats(s.dispatcher.operators()).figure("dispatcher.open_requests") == 1);
   slow.join();
   CHECK(s.stats(s.dispatcher.operators()).figure(kServed) == 2);
-  for (const auto& [id, n] : s.begun()) CHECK(n == 1);
+  for (const auto& [id, n] : s.begun())
+    CHECK(n == 1);
 }
 
 TEST_CASE(
-    "SIGHUP in the middle of upgrades: both processes read the file, and every order is answered once") {
+    "SIGHUP in the middle of upgrades: both processes read the file, and every order is answered "
+    "once") {
   Scene s;
   std::atomic<bool> over{false};
   std::atomic<int> served{0}, other{0};
   std::thread orders([&] {
     Regular client(s.dispatcher.address());
-    while (!over) ++(client.hand_in(s.order()).status == 200 ? served : other);
+    while (!over)
+      ++(client.hand_in(s.order()).status == 200 ? served : other);
   });
   for (int round = 0; round < 3; ++round) {
     int before = served, old = s.dispatcher.pid();
     s.until([&] { return served > before + 20; });
     std::atomic<bool> up{false};
     std::thread signals([&] {
-      while (!up) kill(old, SIGHUP), std::this_thread::sleep_for(std::chrono::milliseconds(1));
+      while (!up)
+        kill(old, SIGHUP), std::this_thread::sleep_for(std::chrono::milliseconds(1));
     });
     bool started = s.dispatcher.start_beside();
     kill(s.dispatcher.pid(), SIGHUP);
@@ -308,27 +369,35 @@
   over = true;
   orders.join();
   CHECK(other == 0);
-  for (const auto& [id, n] : s.begun()) CHECK(n == 1);
+  for (const auto& [id, n] : s.begun())
+    CHECK(n == 1);
 }
 
 TEST_CASE("an order worker that is out by hand stays out over an upgrade") {
   Scene s;
   CHECK(call(s.dispatcher.operators(), "POST", "/admin/cordon?id=s-1").status == 200);
   REQUIRE(s.dispatcher.start_beside());
-  for (int i = 0; i < 30; ++i) CHECK(hand_in(s.dispatcher.address(), s.order()).status == 200);
-  for (const Seen& seen : s.fleet.seen()) CHECK(seen.uid != "s-1");
+  for (int i = 0; i < 30; ++i)
+    CHECK(hand_in(s.dispatcher.address(), s.order()).status == 200);
+  for (const Seen& seen : s.fleet.seen())
+    CHECK(seen.uid != "s-1");
   // A call at either address counts at both.
   CHECK(call(s.dispatcher.operators(), "POST", "/admin/cordon?id=s-2").status == 200);
-  s.until([&] { return s.stats(s.dispatcher.old_operators()).figure("dispatcher.out_of_rotation") == 2; });
+  s.until([&] {
+    return s.stats(s.dispatcher.old_operators()).figure("dispatcher.out_of_rotation") == 2;
+  });
   CHECK(call(s.dispatcher.old_operators(), "POST", "/admin/uncordon?id=s-1").status == 200);
-  s.until([&] { return s.stats(s.dispatcher.operators()).figure("dispatcher.out_of_rotation") == 1; });
+  s.until(
+      [&] { return s.stats(s.dispatcher.operators()).figure("dispatcher.out_of_rotation") == 1; });
   CHECK(s.dispatcher.end_old() == 0);
   CHECK(s.stats(s.dispatcher.operators()).figure("dispatcher.out_of_rotation") == 1);
 }
 
 TEST_CASE("the one that lives serves on") {
   Scene s;
-  auto serves = [&] { return hand_in(s.dispatcher.address(), s.order()).status == 200; };
+  auto serves = [&] {
+    return hand_in(s.dispatcher.address(), s.order()).status == 200;
+  };
   SECTION("the new one dies after taking over") {
     REQUIRE(s.dispatcher.start_beside());
     s.dispatcher.kill_now();
@@ -346,7 +415,9 @@
     REQUIRE(s.dispatcher.start_beside());
     CHECK(s.dispatcher.end_old() == 0);
   }
-  SECTION("it was killed outright, and its socket lies there") { s.dispatcher.kill_now(); }
+  SECTION("it was killed outright, and its socket lies there") {
+    s.dispatcher.kill_now();
+  }
   SECTION("a second upgrade before the first has ended") {
     Regular client(s.dispatcher.address());
     REQUIRE(s.dispatcher.start_beside());
--- a/tests/net/operations_test.cpp
+++ b/tests/net/operations_test.cpp
@@ -10,12 +10,15 @@
 
 namespace {
 
-Time at(double ms) { return Time(Duration(ms)); }
+Time at(double ms) {
+  return Time(Duration(ms));
+}
 
 protocol::NameList list(bool whole, Readiness readiness, double boot = 0, const char* uid = "s-a") {
   protocol::Listed l;
   l.uid = uid, l.address = "10.1.0.1:5000", l.entry.readiness = readiness;
-  if (boot > 0) l.entry.online_since = at(boot);
+  if (boot > 0)
+    l.entry.online_since = at(boot);
   return {1, whole, {l}};
 }
 
@@ -33,7 +36,8 @@
       CHECK(r.listed().size() == (told == Readiness::Gone ? 0 : 1));
       // Known by hand although no list names it: again, and back.
       CHECK(r.cordon("s-a", at(200)));
-      CHECK(r.apply(list(false, Readiness::Ready, 300)).entries[0].entry.readiness == Readiness::Terminating);
+      CHECK(r.apply(list(false, Readiness::Ready, 300)).entries[0].entry.readiness ==
+            Readiness::Terminating);
       auto back = r.uncordon("s-a", at(400));
       REQUIRE(back);
       CHECK(back->entries.at(0).entry.readiness == Readiness::Ready);
@@ -43,7 +47,8 @@
 
 TEST_CASE("an instance that comes back is as cold as one that has just started") {
   struct Row {
-    double boot, later, wanted, in_the_end;  // told while it is out; told after; start as seen after each
+    double boot, later, wanted,
+        in_the_end;  // told while it is out; told after; start as seen after each
   };
   for (Row row : {Row{0, 0, 400, 400},       // discovery tells of no restart, ever
                   Row{0, 250, 400, 250},     // late
@@ -53,7 +58,8 @@
     operations::Roster r;
     r.apply(list(true, Readiness::Ready, 50));
     r.cordon("s-a", at(100));
-    if (row.boot > 0) r.apply(list(false, Readiness::Ready, row.boot));
+    if (row.boot > 0)
+      r.apply(list(false, Readiness::Ready, row.boot));
     CHECK(r.uncordon("s-a", at(400))->entries.at(0).entry.online_since == at(row.wanted));
     auto seen = r.apply(list(true, Readiness::Ready, row.later)).entries.at(0).entry;
     CHECK(seen.online_since == at(row.in_the_end));
@@ -66,7 +72,8 @@
   r.apply(list(true, Readiness::Ready));
   CHECK_FALSE(r.cordon("s-b", at(100)));
   CHECK_FALSE(r.uncordon("s-b", at(100)));
-  CHECK(r.apply(list(false, Readiness::Ready, 0, "s-b")).entries[0].entry.readiness == Readiness::Ready);
+  CHECK(r.apply(list(false, Readiness::Ready, 0, "s-b")).entries[0].entry.readiness ==
+        Readiness::Ready);
   r.apply(list(false, Readiness::Gone));
   CHECK_FALSE(r.cordon("s-a", at(200)));  // gone, and not out
 }
--- a/tests/net/parts_test.cpp
+++ b/tests/net/parts_test.cpp
@@ -13,7 +13,8 @@
 
 namespace {
 
-program::Config config(const std::string& json = testing::read_file(OATLEDGE_NET_TESTS "/config.json")) {
+program::Config config(const std::string& json = testing::read_file(OATLEDGE_NET_TESTS
+                                                                    "/config.json")) {
   return program::read_config(
       json, [](const char*) { return std::string(); }, transport::Duration(0));
 }
@@ -42,7 +43,8 @@
     std::vector<Message> got;
     for (std::size_t at = 0; at < bytes.size(); at += cut) {
       p.feed(std::string_view(bytes).substr(at, cut));
-      while (auto m = p.next()) got.push_back(*m);
+      while (auto m = p.next())
+        got.push_back(*m);
     }
     REQUIRE(got.size() == 2);
     CHECK(got[0].body == "abcde");
@@ -62,7 +64,8 @@
   CHECK(status_of("GET / HTTP/1.1\r\nA : b\r\n\r\n") == 400);
   CHECK(status_of("POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n") == 400);
   CHECK(status_of("POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n") == 400);
-  CHECK(status_of("POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n") == 400);
+  CHECK(status_of("POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n") ==
+        400);
   CHECK(status_of("POST / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n") == 501);
   CHECK(status_of("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n") == 400);
   CHECK(status_of("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nfffff\r\n") == 413);
@@ -121,13 +124,17 @@
   }
 }
 
-// A file that is half written, or that lacks something, must not be taken for one that means to leave it out.
+// A file that is half written, or that lacks something, must not be taken for one that means to
+// leave it out.
 TEST_CASE("a reload takes whole files that can be worked with, and nothing else") {
   std::string text = testing::read_file(OATLEDGE_NET_TESTS "/config.json");
   program::Config now = config(text);
   auto reload = [&](const std::string& file) {
-    auto nothing = [](const char*) { return std::string(); };
-    return program::read_config(file, nothing, stagehinge::Duration(0), program::Occasion::Reload, now.file);
+    auto nothing = [](const char*) {
+      return std::string();
+    };
+    return program::read_config(file, nothing, stagehinge::Duration(0), program::Occasion::Reload,
+                                now.file);
   };
   CHECK_NOTHROW(reload(text));
   for (std::size_t n = 0; n < text.find_last_of('}'); ++n)
@@ -267,7 +274,8 @@
   testing::ManualClock clock;
   std::vector<std::string> lines;
   operations::Log log(clock, [&](const std::string& line) { lines.push_back(line); });
-  for (int i = 0; i < 50; ++i) log.line("client", "400: two\nlines");
+  for (int i = 0; i < 50; ++i)
+    log.line("client", "400: two\nlines");
   CHECK(lines.size() == 20);
   CHECK(lines[0] == "client: 400: two?lines");
   log.line("names", "heard");
@@ -281,8 +289,10 @@
   testing::ManualClock clock;
   std::string written;
   operations::Log log(
-      clock, [&](const std::string& line) { written = "{" + line; }, operations::LogFormat::Json, "n\"3");
-  log.line("fleet", "10.0.0.4:7946 is dead,\nsays 9b1f03aa5c7e2d41; not 9b1f03aa5c7e2d410 or 1.2.3.4");
+      clock, [&](const std::string& line) { written = "{" + line; }, operations::LogFormat::Json,
+      "n\"3");
+  log.line("fleet",
+           "10.0.0.4:7946 is dead,\nsays 9b1f03aa5c7e2d41; not 9b1f03aa5c7e2d410 or 1.2.3.4");
   Json::Value one = protocol::parse_json(written);
   CHECK(one["name"] == "n\"3");
   CHECK(one["kind"] == "fleet");
@@ -325,8 +335,10 @@
   c.memory_span = stagehinge::Duration(10000), c.deadline = stagehinge::Duration(8000);
   c.aim = stagehinge::Duration(500), c.worth = 10;
   s.classes = {c};
-  s.max_attempts = 3, s.may_probe = s.cancelling = true, s.reports = stagehinge::ReportMode::OnProbe;
-  s.connect_timeout = stagehinge::Duration(250), s.ramp_time = stagehinge::Duration(9000), s.tip_multiple = 3;
+  s.max_attempts = 3, s.may_probe = s.cancelling = true,
+  s.reports = stagehinge::ReportMode::OnProbe;
+  s.connect_timeout = stagehinge::Duration(250), s.ramp_time = stagehinge::Duration(9000),
+  s.tip_multiple = 3;
   const Place place{1024, 192, false, false, 0, 0};
   REQUIRE(contradictions(s, place).empty());
   CHECK(describe(s, place).find("in its zone, 9498 ms from its first send") != std::string::npos);
@@ -364,9 +376,10 @@
   }
 }
 
-// The lab's verdicts stand on the clock: only a starved machine may have a broken run played again, and not
-// for ever.
-TEST_CASE("lab: a broken run counts, unless orders were late on a machine that had no time for them") {
+// The lab's verdicts stand on the clock: only a starved machine may have a broken run played again,
+// and not for ever.
+TEST_CASE(
+    "lab: a broken run counts, unless orders were late on a machine that had no time for them") {
   using lab::judge, lab::Judgement;
   for (double starved : {0.0, lab::kStarved, 0.9}) {
     CHECK(judge({true, true, starved}, 1) == Judgement::Kept);
