--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -17,10 +17,11 @@
       "scene", "", "orders", "served", "late", "refus", "fail", "att/o", "copy", "prb/o", "calls",
       "failed", "lines", "peak", "messag", "bytes", "falln", "cold", "used s", "after", "p50 ms",
       "p95 ms");
-  for (const FleetScene& scene : fleet_scenes())
+  for (const FleetScene& scene : fleet_scenes()) {
     for (const char* variant : {"on", "off", "alone"}) {
       FleetWorld::Options o;
-      o.seed = seed, o.news = std::string(variant) != "off",
+      o.seed = seed;
+      o.news = std::string(variant) != "off";
       o.thinks_alone = std::string(variant) == "alone";
       FleetCounts c = play(scene, o);
       long peak = c.failed_by_second.empty() ? 0 : *std::ranges::max_element(c.failed_by_second);
@@ -37,5 +38,6 @@
           c.fallen, c.cold_most, c.cold_used / 1000, c.after_first, c.learned_at(0.5),
           c.learned_at(0.95));
     }
+  }
   return 0;
 }
--- a/bench/jam.cpp
+++ b/bench/jam.cpp
@@ -11,7 +11,7 @@
 
 int main(int argc, char** argv) {
   int seeds = argc > 1 ? std::stoi(argv[1]) : 1;
-  for (const JamScene& scene : jam_scenes())
+  for (const JamScene& scene : jam_scenes()) {
     for (int seed = 1; seed <= seeds; ++seed) {
       FleetWorld::Where then;
       FleetCounts c = play(scene, static_cast<std::uint64_t>(seed), 300, &then);
@@ -29,5 +29,6 @@
         std::printf(" %.2f", c.share(double(i), double(i) + 1));
       std::printf("\n");
     }
+  }
   return 0;
 }
--- a/bench/operations.cpp
+++ b/bench/operations.cpp
@@ -28,7 +28,8 @@
     round();
   }
   struct Round {
-    double cpu_ms, order_ms;  // for one order; the latter the median
+    double cpu_ms;
+    double order_ms;  // for one order; the latter the median
   };
   Round round() {
     double before = dispatcher.cpu_ms();
@@ -36,7 +37,8 @@
     Regular client(dispatcher.address());
     for (int i = 0; i < kOrders; ++i) {
       Order o;
-      o.id = ++ids, o.query = "news=1";
+      o.id = ++ids;
+      o.query = "news=1";
       Answer a = client.hand_in(o);
       if (a.status != 200)
         throw std::runtime_error("an order failed");
@@ -88,8 +90,13 @@
   int rounds = argc > 3 ? std::stoi(argv[3]) : 7;
   Rig rig(argv[1], argv[2]);
   const std::string operators = rig.dispatcher.operators();
-  std::vector<double> each_second, each_10ms, silent_cpu, silent_order, call_ms;
-  std::size_t idle_descriptors = 0, silent_descriptors = 0;
+  std::vector<double> each_second;
+  std::vector<double> each_10ms;
+  std::vector<double> silent_cpu;
+  std::vector<double> silent_order;
+  std::vector<double> call_ms;
+  std::size_t idle_descriptors = 0;
+  std::size_t silent_descriptors = 0;
   int failed = 0;
   for (int i = 0; i < rounds; ++i) {
     Rig::Round idle = rig.round();
@@ -107,10 +114,11 @@
       silent.push_back(std::make_unique<Regular>(operators));
     Caller caller(operators, 10);
     Rig::Round beside = rig.round();
-    silent_cpu.push_back(beside.cpu_ms / idle.cpu_ms),
-        silent_order.push_back(beside.order_ms / idle.order_ms);
+    silent_cpu.push_back(beside.cpu_ms / idle.cpu_ms);
+    silent_order.push_back(beside.order_ms / idle.order_ms);
     silent_descriptors = std::max(silent_descriptors, rig.descriptors());
-    call_ms.push_back(caller.longest_ms), failed += caller.failed;
+    call_ms.push_back(caller.longest_ms);
+    failed += caller.failed;
   }
   std::printf(
       "CPU for an order, against that with the operators' address idle (median of %d rounds)\n",
--- a/bench/streaming.cpp
+++ b/bench/streaming.cpp
@@ -35,11 +35,12 @@
   cpu_set_t cores;
   CPU_ZERO(&cores);
   int n = static_cast<int>(std::thread::hardware_concurrency());
-  if (dispatcher || n < 2)
+  if (dispatcher || n < 2) {
     CPU_SET(0, &cores);
-  else
+  } else {
     for (int i = 1; i < n; ++i)
       CPU_SET(i, &cores);
+  }
   sched_setaffinity(pid, sizeof cores, &cores);
 }
 
@@ -77,17 +78,23 @@
   std::vector<Order> all;
   for (int i = 0; i < count; ++i) {
     Order o;
-    o.id = next_id(), o.seed = o.id, o.chunked = i % 4 < 2, o.time_left_ms = 600'000;
-    bool up = i % 2 == 0, client = i % 8 < 2, worker = i % 8 >= 2 && i % 8 < 4;
+    o.id = next_id();
+    o.seed = o.id;
+    o.chunked = i % 4 < 2;
+    o.time_left_ms = 600'000;
+    bool up = i % 2 == 0;
+    bool client = i % 8 < 2;
+    bool worker = i % 8 >= 2 && i % 8 < 4;
     if (slow == 0)
       client = worker = false;
     if (i / 8 % 2 == 1)
       client = worker = client && false;  // every second eight has none: a quarter in all
-    if (up)
+    if (up) {
       o.upload = bytes;
-    else
+    } else {
       o.query = "reply=" + std::to_string(bytes) + "&seed=" + std::to_string(o.seed) +
                 (o.chunked ? "&chunked=1" : "");
+    }
     o.query += o.query.empty() ? "nice=1" : "&nice=1";
     if (!up)
       o.chunked = false;
@@ -106,14 +113,16 @@
   for (std::size_t i = 0; i < orders.size(); ++i) {
     const Answer& a = answers[i];
     bool ok = a.status == 200 && a.whole && !a.unread;
-    if (orders[i].upload > 0)
+    if (orders[i].upload > 0) {
       ok = ok && a.body == a.sent_sha;
-    else
+    } else {
       ok = ok && a.bytes == bytes && a.sha == pattern_sha(orders[i].seed, bytes);
-    if (!ok)
+    }
+    if (!ok) {
       std::printf("  order %llu: status %d, %llu bytes\n",
                   static_cast<unsigned long long>(orders[i].id), a.status,
                   static_cast<unsigned long long>(a.bytes));
+    }
     bad += !ok;
   }
   return bad;
@@ -150,9 +159,10 @@
 bool throughput(const std::string& program, const std::string& config, std::uint64_t bytes) {
   Rig rig(program, config, features(24));
   bool good = true;
-  for (int count : {1, 16})
+  for (int count : {1, 16}) {
     for (bool up : {true, false}) {
-      std::vector<double> ratios, speeds;
+      std::vector<double> ratios;
+      std::vector<double> speeds;
       for (int round = 0; round < 5; ++round) {
         double speed[2];
         for (bool direct : {true, false}) {
@@ -165,13 +175,15 @@
           if (wrong(orders, answers, bytes) > 0)
             return false;
         }
-        ratios.push_back(speed[0] / speed[1]), speeds.push_back(speed[0]);
+        ratios.push_back(speed[0] / speed[1]);
+        speeds.push_back(speed[0]);
       }
       std::printf(
           "throughput: %2d %s: %.0f MB/s through the dispatcher, %.2f of direct (at least 0.70)\n",
           count, up ? "up  " : "down", median(speeds), median(ratios));
       good = good && median(ratios) >= 0.7;
     }
+  }
   return good;
 }
 
@@ -180,7 +192,7 @@
   std::vector<double> times;
   std::mutex mutex;
   std::vector<std::thread> threads;
-  for (int t = 0; t < 4; ++t)
+  for (int t = 0; t < 4; ++t) {
     threads.emplace_back([&] {
       run_on(1, 1);
       for (int i = 0; i < count / 4; ++i) {
@@ -191,6 +203,7 @@
         times.push_back(a.status == 200 ? a.ms : 1e6);
       }
     });
+  }
   for (std::thread& t : threads)
     t.join();
   return times;
@@ -201,7 +214,8 @@
       1,
       1);  // where each connection is taken; the threads of transfers go to other cores from there
   Rig rig(program, config, features(24), 8);
-  std::vector<double> m, p;
+  std::vector<double> m;
+  std::vector<double> p;
   for (int round = 0; round < 3; ++round) {
     auto without = small_orders(rig.dispatcher.address(), 400, "work=50&core=1");
     auto orders = transfers(200, bytes, bytes / 15);
@@ -217,8 +231,8 @@
       return false;
     std::printf("  round %d: median %.1f ms without, %.1f with; 99th %.1f and %.1f\n", round,
                 median(without), median(with), median(without, 0.99), median(with, 0.99));
-    m.push_back(median(with) / median(without)),
-        p.push_back(median(with, 0.99) / median(without, 0.99));
+    m.push_back(median(with) / median(without));
+    p.push_back(median(with, 0.99) / median(without, 0.99));
   }
   std::printf(
       "beside: small orders with 200 transfers against without: median %.2f, 99th percentile %.2f "
@@ -229,8 +243,11 @@
 }
 
 bool cpu(const std::string& program, const std::string& old, const std::string& config) {
-  std::vector<double> off, on;
-  Rig before(old, config, ""), after(program, config, ""), streams(program, config, features(24));
+  std::vector<double> off;
+  std::vector<double> on;
+  Rig before(old, config, "");
+  Rig after(program, config, "");
+  Rig streams(program, config, features(24));
   auto cost = [](Rig& rig) {  // ms of CPU a thousand small orders, by call-backs as always
     double start = rig.dispatcher.cpu_ms();
     if (median(small_orders(rig.dispatcher.address(), 1600, "news=1&core=1"), 1) >= 1e6)
@@ -253,21 +270,25 @@
 }  // namespace
 
 int main(int argc, char** argv) try {
-  if (argc < 3)
+  if (argc < 3) {
     throw std::runtime_error(
         "usage: oatledge_bench_streaming PROGRAM CONFIG [--part NAME] [--old PROGRAM] [--mb N]");
-  std::string program = argv[1], config = argv[2], old;
+  }
+  std::string program = argv[1];
+  std::string config = argv[2];
+  std::string old;
   std::vector<std::string> parts;
   std::uint64_t bytes = 50'000'000;
   for (int i = 3; i + 1 < argc; i += 2) {
-    if (!std::strcmp(argv[i], "--part"))
+    if (!std::strcmp(argv[i], "--part")) {
       parts.push_back(argv[i + 1]);
-    else if (!std::strcmp(argv[i], "--old"))
+    } else if (!std::strcmp(argv[i], "--old")) {
       old = argv[i + 1];
-    else if (!std::strcmp(argv[i], "--mb"))
+    } else if (!std::strcmp(argv[i], "--mb")) {
       bytes = std::stoull(argv[i + 1]) * 1'000'000;
-    else
+    } else {
       throw std::runtime_error(std::string("unknown: ") + argv[i]);
+    }
   }
   if (parts.empty())
     parts = {"memory", "throughput", "beside"};
@@ -275,16 +296,17 @@
   pin(0, false);
   bool good = true;
   for (const std::string& part : parts) {
-    if (part == "memory")
+    if (part == "memory") {
       good &= memory(program, config, bytes);
-    else if (part == "throughput")
+    } else if (part == "throughput") {
       good &= throughput(program, config, bytes);
-    else if (part == "beside")
+    } else if (part == "beside") {
       good &= beside(program, config, bytes);
-    else if (part == "cpu" && !old.empty())
+    } else if (part == "cpu" && !old.empty()) {
       good &= cpu(program, old, config);
-    else
+    } else {
       throw std::runtime_error("no such part, or no --old: " + part);
+    }
   }
   return good ? 0 : 2;
 } catch (const std::exception& e) {
--- a/bench/view.cpp
+++ b/bench/view.cpp
@@ -23,7 +23,7 @@
 
 void hour() {
   constexpr int kMembers = 100;
-  for (bool health : {true, false})
+  for (bool health : {true, false}) {
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
       ViewWorld w(0, seed);
       w.options = [health](View::Options& o) {
@@ -31,7 +31,8 @@
       };
       w.begin(kMembers);
       w.until_agreed(300'000);
-      w.loss(0.2), w.suspected = w.died = 0;
+      w.loss(0.2);
+      w.suspected = w.died = 0;
       for (int minute = 0; minute < 60; ++minute) {
         for (int i = 0; i < kMembers / 10; ++i)
           w.stop((minute * 7 + i) % kMembers, true);
@@ -46,6 +47,7 @@
           health ? "on" : "off", static_cast<int>(seed), w.suspected, w.died, kMembers);
       std::fflush(stdout);
     }
+  }
 }
 
 }  // namespace
@@ -62,21 +64,28 @@
               "one crash, s", "seven in ten die, s", "10 s in halves, s",
               "at rest, each a second: datagrams, bytes, us of CPU");
   for (int n : sizes) {
-    std::vector<double> start, crash, most, halves, datagrams, bytes, cpu;
+    std::vector<double> start;
+    std::vector<double> crash;
+    std::vector<double> most;
+    std::vector<double> halves;
+    std::vector<double> datagrams;
+    std::vector<double> bytes;
+    std::vector<double> cpu;
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       constexpr double kLongest = 300'000;
       ViewWorld w(n, seed);
       start.push_back(w.until_agreed(kLongest) / 1000);
       w.pass(60'000);
-      long sent = w.sent, size = w.bytes;
+      long sent = w.sent;
+      long size = w.bytes;
       auto clock = std::chrono::steady_clock::now();
       w.pass(20'000);
       cpu.push_back(
           std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - clock)
               .count() /
           20 / n);
-      datagrams.push_back(double(w.sent - sent) / 20 / n),
-          bytes.push_back(double(w.bytes - size) / 20 / n);
+      datagrams.push_back(double(w.sent - sent) / 20 / n);
+      bytes.push_back(double(w.bytes - size) / 20 / n);
       w.crash(0);
       w.pass(50);
       crash.push_back(w.until_agreed(kLongest) / 1000);
--- a/include/stagehinge/dispatcher.h
+++ b/include/stagehinge/dispatcher.h
@@ -70,7 +70,8 @@
   // The retry budget: within any window, attempts beyond a request's first number at most the free
   // ones plus this share of the requests taken. Given all three or not at all; not at all:
   // unlimited.
-  std::optional<double> budget_free, extra_per_request;
+  std::optional<double> budget_free;
+  std::optional<double> extra_per_request;
   std::optional<Duration> extra_window;
   // prices, each as a fraction of the day's worth for one unit a request
   double price_cross_zone = 0;
@@ -95,8 +96,12 @@
 };
 
 struct LoadReport {
-  std::optional<double> inflight, queue, busy, free_slots, free_memory,
-      fail_rate;  // the last: errors a second
+  std::optional<double> inflight;
+  std::optional<double> queue;
+  std::optional<double> busy;
+  std::optional<double> free_slots;
+  std::optional<double> free_memory;
+  std::optional<double> fail_rate;  // the last: errors a second
 };
 
 struct Request {
@@ -192,7 +197,10 @@
 
  private:
   struct Bin {
-    double count = 0, work = 0, square = 0, inverse = 0;
+    double count = 0;
+    double work = 0;
+    double square = 0;
+    double inverse = 0;
     void operator+=(const Bin& other);
     void operator-=(const Bin& other);
   };
@@ -200,7 +208,8 @@
   void decay(Time now);
 
   std::vector<Bin> bins_;
-  double count_ = 0, work_ = 0;
+  double count_ = 0;
+  double work_ = 0;
   std::optional<Time> first_;
   Time decayed_{};
 };
@@ -218,8 +227,14 @@
  private:
   double slope() const;
 
-  double n_ = 0, hint_mean_ = 0, seen_mean_ = 0, hint_var_ = 0, seen_var_ = 0, both_ = 0,
-         hints_ = 0, bent_ = 0;
+  double n_ = 0;
+  double hint_mean_ = 0;
+  double seen_mean_ = 0;
+  double hint_var_ = 0;
+  double seen_var_ = 0;
+  double both_ = 0;
+  double hints_ = 0;
+  double bent_ = 0;
 };
 
 }  // namespace stagehinge
--- a/lab/fleet_scenes.h
+++ b/lab/fleet_scenes.h
@@ -66,8 +66,10 @@
 constexpr double kJamFrom = 6, kJamSeconds = 24;
 
 inline void silence_a_fifth(FleetWorld& w, int dispatchers) {
-  for (int i = 0; i < dispatchers / 15; ++i)
-    w.at(6, [&w, i] { w.silent(i, true); }), w.at(12, [&w, i] { w.silent(i, false); });
+  for (int i = 0; i < dispatchers / 15; ++i) {
+    w.at(6, [&w, i] { w.silent(i, true); });
+    w.at(12, [&w, i] { w.silent(i, false); });
+  }
 }
 
 inline const std::vector<JamScene>& jam_scenes() {
@@ -101,7 +103,10 @@
 inline FleetCounts play(const JamScene& scene, std::uint64_t seed, int dispatchers = 300,
                         FleetWorld::Where* at_over = nullptr) {
   FleetWorld::Options o;
-  o.dispatchers = dispatchers, o.workers = dispatchers / 3, o.load = 0.75, o.keyed = 0.25,
+  o.dispatchers = dispatchers;
+  o.workers = dispatchers / 3;
+  o.load = 0.75;
+  o.keyed = 0.25;
   o.seed = seed;
   FleetWorld world(o);
   scene.troubles(world, dispatchers);
--- a/lab/fleet_world.cpp
+++ b/lab/fleet_world.cpp
@@ -40,52 +40,73 @@
 }
 
 double FleetCounts::share(double from, double to) const {
-  long all = 0, good = 0;
+  long all = 0;
+  long good = 0;
   for (auto i = static_cast<std::size_t>(from);
-       i < std::min(came.size(), static_cast<std::size_t>(to)); ++i)
-    all += came[i], good += in_time[i];
+       i < std::min(came.size(), static_cast<std::size_t>(to)); ++i) {
+    all += came[i];
+    good += in_time[i];
+  }
   return all ? double(good) / double(all) : 0;
 }
 
 double FleetCounts::settles(double start, double end, double part) const {
   double before = share(1, start - 1);  // a fault spoils what came just before it
-  for (double at = end; at + 6 <= double(came.size()); ++at)  // the last ones are still open
+  for (double at = end; at + 6 <= double(came.size()); ++at) {  // the last ones are still open
     if (share(at, at + 1) >= part * before && share(at, at + 3) >= part * before)
       return at - end;
+  }
   return -1;
 }
 
 FleetWorld::FleetWorld(Options options) : options_(options), random_(options.seed) {
   settings_.balancers = options.thinks_alone ? 1 : options.dispatchers;
   stagehinge::ClassSettings c;
-  c.name = "order", c.effect = stagehinge::Effect::Unsafe, c.group = stagehinge::Group::All;
-  c.memory_span = Duration(5000), c.aim = Duration(300), c.stretch = 2.5,
+  c.name = "order";
+  c.effect = stagehinge::Effect::Unsafe;
+  c.group = stagehinge::Group::All;
+  c.memory_span = Duration(5000);
+  c.aim = Duration(300);
+  c.stretch = 2.5;
   c.deadline = Duration(5000);
   c.late_worth = 0.5;
   settings_.classes = {c};
-  c.name = "keyed", c.effect = stagehinge::Effect::Keyed, c.late_worth = 0.3;
+  c.name = "keyed";
+  c.effect = stagehinge::Effect::Keyed;
+  c.late_worth = 0.3;
   if (options.keyed > 0)
     settings_.classes.push_back(c);
-  settings_.tick = Duration(2), settings_.max_attempts = 3, settings_.parallel_tries = true;
-  settings_.connect_timeout = Duration(kConnect), settings_.cancelling = true;
-  settings_.must_subscribe = true, settings_.reports = stagehinge::ReportMode::Inline,
+  settings_.tick = Duration(2);
+  settings_.max_attempts = 3;
+  settings_.parallel_tries = true;
+  settings_.connect_timeout = Duration(kConnect);
+  settings_.cancelling = true;
+  settings_.must_subscribe = true;
+  settings_.reports = stagehinge::ReportMode::Inline;
   settings_.tells_start = true;
-  settings_.answer_slack = Duration(8), settings_.must_ask_in = Duration(10000);
-  settings_.drain_grace = Duration(500), settings_.cold_from = 0.3,
+  settings_.answer_slack = Duration(8);
+  settings_.must_ask_in = Duration(10000);
+  settings_.drain_grace = Duration(500);
+  settings_.cold_from = 0.3;
   settings_.ramp_time = Duration(8000);
-  settings_.tip_multiple = 3, settings_.fall_span = Duration(2000), settings_.worth_by_work = true;
+  settings_.tip_multiple = 3;
+  settings_.fall_span = Duration(2000);
+  settings_.worth_by_work = true;
   settings_.may_probe = options.probes;
   if (options.bare)
     settings_.tells_start = settings_.cancelling = settings_.parallel_tries = options_.news = false;
   for (int i = 0; i < options.workers; ++i) {
     Worker w;
-    w.id = std::string("w").append(std::to_string(i)), w.speed = i % 3 == 0 ? 1.4 : 0.9;
+    w.id = std::string("w").append(std::to_string(i));
+    w.speed = i % 3 == 0 ? 1.4 : 0.9;
     workers_.push_back(std::move(w));
     by_id_[workers_.back().id] = workers_.size() - 1;
   }
   nodes_.resize(static_cast<std::size_t>(options.dispatchers));
-  for (int i = 0; i < options.dispatchers; ++i)
-    start(i, true), arrive(i);
+  for (int i = 0; i < options.dispatchers; ++i) {
+    start(i, true);
+    arrive(i);
+  }
   look_who_knows();
 }
 
@@ -110,17 +131,19 @@
 
 std::size_t FleetWorld::open() const {
   std::size_t all = 0;
-  for (const Node& n : nodes_)
+  for (const Node& n : nodes_) {
     all += static_cast<std::size_t>(
         std::ranges::count_if(n.jobs, [](const auto& j) { return !j.second.answered; }));
+  }
   return all;
 }
 
 FleetWorld::Where FleetWorld::where() const {
   Where where;
-  for (const Node& n : nodes_)
+  for (const Node& n : nodes_) {
     for (const auto& [id, job] : n.jobs)
       where.held += !job.answered && std::ranges::none_of(job.attempts, &Attempt::open);
+  }
   auto late = [this](const Run& r) {
     const Node& n = nodes_[static_cast<std::size_t>(r.dispatcher)];
     auto it = n.jobs.find(r.id);
@@ -128,7 +151,8 @@
            ms(now_ - it->second.came) > it->second.wanted;
   };
   for (const Worker& w : workers_) {
-    where.queued += w.queue.size(), where.running += w.running.size();
+    where.queued += w.queue.size();
+    where.running += w.running.size();
     where.queued_late += static_cast<std::size_t>(std::ranges::count_if(w.queue, late));
     where.running_late += static_cast<std::size_t>(std::ranges::count_if(w.running, late));
   }
@@ -169,9 +193,10 @@
 void FleetWorld::start(int node, bool first) {
   Node& n = nodes_[static_cast<std::size_t>(node)];
   ++n.life;
-  n.watching = false, n.revision = 1;
+  n.watching = false;
+  n.revision = 1;
   stagehinge::Settings s = settings_;
-  s.index = options_.thinks_alone ? 0 : node,
+  s.index = options_.thinks_alone ? 0 : node;
   s.seed = options_.seed * 1000003 + n.life * 7919 + std::uint64_t(node);
   std::vector<Action> actions;
   n.module.emplace(s, now_, actions);
@@ -187,8 +212,11 @@
   if (!n.module)
     return;
   counts_.lost += std::ranges::count_if(n.jobs, [](const auto& j) { return !j.second.answered; });
-  n.module.reset(), n.loads.reset(), n.tells_late = false;
-  n.jobs.clear(), n.there.clear();
+  n.module.reset();
+  n.loads.reset();
+  n.tells_late = false;
+  n.jobs.clear();
+  n.there.clear();
   ++n.life;
   for (Worker& w : workers_)
     std::erase_if(w.queue, [&](const Run& r) { return r.dispatcher == node; });
@@ -227,7 +255,7 @@
 
 void FleetWorld::act(int node, std::vector<Action>& actions) {
   std::uint64_t life = nodes_[static_cast<std::size_t>(node)].life;
-  for (const Action& a : actions)
+  for (const Action& a : actions) {
     switch (a.kind) {
       case ActionKind::Send:
         send(node, a);
@@ -256,6 +284,7 @@
       case ActionKind::Log:
         break;
     }
+  }
 }
 
 void FleetWorld::answer(int node, stagehinge::RequestId id, long& count) {
@@ -274,12 +303,13 @@
   auto it = n.jobs.find(id);
   if (n.life != life || it == n.jobs.end())
     return;
-  for (std::size_t i = 0; i < it->second.attempts.size(); ++i)
+  for (std::size_t i = 0; i < it->second.attempts.size(); ++i) {
     if (it->second.attempts[i].open) {
       end({node, life, id, static_cast<int>(i), 0, 0}, Outcome::TimedOut, std::nullopt);
       if ((it = n.jobs.find(id)) == n.jobs.end())
         return;
     }
+  }
   if (std::exchange(it->second.answered, true))
     return close(node, id);
   ++counts_.failed;
@@ -354,10 +384,11 @@
     w.first_failure = now_;
   if (outcome == Outcome::Success && !std::exchange(it->second.answered, true)) {
     ++counts_.served;
-    if (ms(now_ - it->second.came) > it->second.wanted)
+    if (ms(now_ - it->second.came) > it->second.wanted) {
       ++counts_.late;
-    else
+    } else {
       ++counts_.in_time[static_cast<std::size_t>((it->second.came - Time()) / Duration(1000))];
+    }
   }
   bool final = it->second.answered;
   LoadReport load = from ? report(w) : LoadReport();
@@ -376,7 +407,8 @@
   if (w.fallen)
     return in(kWay, [this, run] { end(run, Outcome::Unreachable, std::nullopt); });
   if (w.fails > 0 && std::bernoulli_distribution(w.fails)(random_)) {
-    w.errors = w.errors * std::exp(-((now_ - w.error_at) / Duration(1000))) + 1, w.error_at = now_;
+    w.errors = w.errors * std::exp(-((now_ - w.error_at) / Duration(1000))) + 1;
+    w.error_at = now_;
     return in(kWay, [this, run, worker] { end(run, Outcome::Failure, worker); });
   }
   if (w.queue.size() >= kQueue)
@@ -391,8 +423,10 @@
     double bears =
         settings_.tip_multiple * ms(settings_.fall_span) * options_.slots * w.speed * warmth(w);
     counts_.cold_most = std::max(counts_.cold_most, all / bears);
-    if (all > bears)
-      w.fallen = true, ++counts_.fallen;
+    if (all > bears) {
+      w.fallen = true;
+      ++counts_.fallen;
+    }
   }
   w.queue.push_back(run);
   begin_next(worker);
@@ -409,11 +443,12 @@
     if (warmth(w) < 1)
       counts_.cold_used += run.work;
     in(kWay, [this, run, worker] {
-      if (lives(run) && settings_.tells_start)
+      if (lives(run) && settings_.tells_start) {
         feed(run.dispatcher, [&](auto& d, auto& out) {
           d.on_note(now_, run.id, run.attempt, workers_[worker].id, stagehinge::NoteKind::Started,
                     out);
         });
+      }
     });
     in(takes, [this, worker, run] {
       Worker& then = workers_[worker];
@@ -446,21 +481,28 @@
 
 void FleetWorld::vanish(int worker) {
   Worker& w = workers_[static_cast<std::size_t>(worker)];
-  w.up = false, w.vanished = now_;
-  w.running.clear(), w.queue.clear();  // nobody hears of these again
+  w.up = false;
+  w.vanished = now_;
+  w.running.clear();
+  w.queue.clear();  // nobody hears of these again
 }
 
 void FleetWorld::come_back(int worker) {
   Worker& w = workers_[static_cast<std::size_t>(worker)];
-  w.up = true, w.started = now_;
-  w.vanished.reset(), w.first_failure.reset(), w.known_bad.clear();
+  w.up = true;
+  w.started = now_;
+  w.vanished.reset();
+  w.first_failure.reset();
+  w.known_bad.clear();
   changed(static_cast<std::size_t>(worker));
 }
 
 void FleetWorld::replace(int worker) {
   auto old = static_cast<std::size_t>(worker);
   Worker next;
-  next.id = workers_[old].id + "'", next.speed = workers_[old].speed, next.started = now_;
+  next.id = workers_[old].id + "'";
+  next.speed = workers_[old].speed;
+  next.started = now_;
   for (const Run& r : workers_[old].running)
     in(kWay, [this, r] { end(r, Outcome::Broken, std::nullopt); });
   vanish(worker);
@@ -474,10 +516,12 @@
 void FleetWorld::silent(int worker, bool silent) {
   Worker& w = workers_[static_cast<std::size_t>(worker)];
   w.silent = silent;
-  for (Run run : std::exchange(w.done, {}))
-    if (std::erase(w.running, run))
+  for (Run run : std::exchange(w.done, {})) {
+    if (std::erase(w.running, run)) {
       in(kWay,
          [this, run, worker] { end(run, Outcome::Success, static_cast<std::size_t>(worker)); });
+    }
+  }
   begin_next(static_cast<std::size_t>(worker));
 }
 
@@ -488,7 +532,8 @@
 
 void FleetWorld::make_bad(int worker, double fails, double speed) {
   Worker& w = workers_[static_cast<std::size_t>(worker)];
-  w.fails = fails, w.speed *= speed;
+  w.fails = fails;
+  w.speed *= speed;
 }
 
 // ---- Discovery ----
@@ -496,9 +541,10 @@
 void FleetWorld::changed(std::size_t worker) {
   in(kNotice, [this, worker] {
     changes_.emplace_back(++revision_, worker);
-    for (int i = 0; i < options_.dispatchers; ++i)
+    for (int i = 0; i < options_.dispatchers; ++i) {
       if (nodes_[static_cast<std::size_t>(i)].watching)
         tell_list(i, ListKind::Partial, nodes_[static_cast<std::size_t>(i)].revision);
+    }
   });
 }
 
@@ -508,11 +554,13 @@
   auto second = static_cast<std::size_t>(now_s());
   counts_.calls_by_second.resize(std::max(counts_.calls_by_second.size(), second + 1));
   counts_.failed_by_second.resize(counts_.calls_by_second.size());
-  ++counts_.calls, ++counts_.calls_by_second[second];
+  ++counts_.calls;
+  ++counts_.calls_by_second[second];
   long lines = std::ranges::count_if(changes_, [&](const auto& c) { return c.first > n.revision; });
   Time begins = std::max(now_, discovery_free_);
   if (begins - now_ > Duration(kCallPatience)) {  // it waits in vain, and costs nothing
-    ++counts_.failed_calls, ++counts_.failed_by_second[second];
+    ++counts_.failed_calls;
+    ++counts_.failed_by_second[second];
     return in(kCallPatience, [this, node, life] {
       if (nodes_[static_cast<std::size_t>(node)].life == life)
         feed(node, [&](auto& d, auto& out) { d.on_list(now_, ListKind::Error, {}, out); });
@@ -537,28 +585,32 @@
   auto add = [&](std::size_t i, bool now) {
     const Worker& w = workers_[i];
     stagehinge::WorkerEntry e;
-    e.worker = w.id, e.size = options_.slots;
+    e.worker = w.id;
+    e.size = options_.slots;
     e.readiness = now && !w.listed ? stagehinge::Readiness::Gone : stagehinge::Readiness::Ready;
     if (now && w.started)
       e.online_since = w.started;
     entries.push_back(e);
   };
-  if (kind == ListKind::Persisted)
+  if (kind == ListKind::Persisted) {
     for (int i = 0; i < options_.workers; ++i)
       add(static_cast<std::size_t>(i), false);
-  else
-    for (const auto& [revision, worker] : changes_)
+  } else {
+    for (const auto& [revision, worker] : changes_) {
       if (revision > after)
         add(worker, true);
+    }
+  }
   if (kind != ListKind::Persisted)
     n.revision = revision_;
   feed(node, [&](auto& d, auto& out) { d.on_list(now_, kind, entries, out); });
   if (!n.loads)
     return;
   std::vector<std::string> names;
-  for (std::size_t i = 0; i < workers_.size(); ++i)
+  for (std::size_t i = 0; i < workers_.size(); ++i) {
     if (i < static_cast<std::size_t>(options_.workers) || kind != ListKind::Persisted)
       names.push_back(workers_[i].id);
+  }
   n.loads->list(names, [&](const std::string& worker, int jobs) {
     feed(node, [&](auto& d, auto& out) { d.on_peers(now_, worker, jobs, out); });
   });
@@ -583,7 +635,8 @@
     if (n.apart || nodes_[static_cast<std::size_t>(m.to)].apart ||
         std::bernoulli_distribution(options_.lossy)(random_))
       continue;
-    ++counts_.messages, counts_.bytes += static_cast<long>(m.bytes.size());
+    ++counts_.messages;
+    counts_.bytes += static_cast<long>(m.bytes.size());
     in(2 * kWay, [this, node, m] {
       Node& heard = nodes_[static_cast<std::size_t>(m.to)];
       if (!heard.loads)
--- a/lab/fleet_world.h
+++ b/lab/fleet_world.h
@@ -29,20 +29,29 @@
 using stagehinge::Time;
 
 struct FleetCounts {
-  long orders = 0, served = 0, refused = 0, failed = 0,
-       lost = 0;  // lost: with a dispatcher that was killed
+  long orders = 0;
+  long served = 0;
+  long refused = 0;
+  long failed = 0;
+  long lost = 0;  // lost: with a dispatcher that was killed
   long late = 0;  // of the served, after what was wanted
-  long attempts = 0, copies = 0, probes = 0;
-  long calls = 0, failed_calls = 0, lines = 0;  // of discovery; lines of lists that it gave
-  std::vector<long> calls_by_second, failed_by_second;
-  long messages = 0, bytes = 0;  // delivered
-  long fallen = 0;               // cold workers pushed over
+  long attempts = 0;
+  long copies = 0;
+  long probes = 0;
+  long calls = 0;
+  long failed_calls = 0;
+  long lines = 0;  // of discovery; lines of lists that it gave
+  std::vector<long> calls_by_second;
+  std::vector<long> failed_by_second;
+  long messages = 0;
+  long bytes = 0;   // delivered
+  long fallen = 0;  // cold workers pushed over
   double cold_most =
       0;  // of what a fall span of a cold worker bears, the largest part that was sent
   double cold_used = 0;  // work done by workers while cold, ms
   long after_first = 0;  // attempts at a bad worker after somebody first saw it fail
-  std::vector<long> came,
-      in_time;  // orders by the second in which they came, and those served as wanted
+  std::vector<long> came;
+  std::vector<long> in_time;  // orders by the second in which they came, and those served as wanted
   // From `end` on, seconds until a second's share in time is `part` of what it was before `start`,
   // and stays so for three; -1: it never is.
   double settles(double start, double end, double part = 0.95) const;
@@ -55,7 +64,9 @@
 class FleetWorld {
  public:
   struct Options {
-    int dispatchers = 100, workers = 60, slots = 3;
+    int dispatchers = 100;
+    int workers = 60;
+    int slots = 3;
     std::uint64_t seed = 1;
     double load = 0.6;  // of the capacity
     int busy = 0;       // so many dispatchers carry ten times the traffic of the rest
@@ -88,7 +99,11 @@
   std::size_t open() const;
   struct Where {  // orders now: held by dispatchers, waiting at workers, of these too late to be in
                   // time, running
-    std::size_t held = 0, queued = 0, queued_late = 0, running = 0, running_late = 0;
+    std::size_t held = 0;
+    std::size_t queued = 0;
+    std::size_t queued_late = 0;
+    std::size_t running = 0;
+    std::size_t running_late = 0;
   };
   Where where() const;
 
@@ -104,14 +119,21 @@
   };
   struct Worker {
     std::string id;
-    bool up = true, listed = true, fallen = false, silent = false;
-    double speed = 1, fails = 0, errors = 0;  // errors: a second, of late
+    bool up = true;
+    bool listed = true;
+    bool fallen = false;
+    bool silent = false;
+    double speed = 1;
+    double fails = 0;
+    double errors = 0;  // errors: a second, of late
     Time error_at{};
     std::optional<Time> started;
-    std::vector<Run> running, done;  // done: of the running, while it is silent
+    std::vector<Run> running;
+    std::vector<Run> done;  // done: of the running, while it is silent
     std::deque<Run> queue;
     std::deque<std::pair<Time, double>> sent;
-    std::optional<Time> first_failure, vanished;
+    std::optional<Time> first_failure;
+    std::optional<Time> vanished;
     std::set<int> known_bad;  // dispatchers that avoid it
   };
   struct Attempt {
@@ -129,7 +151,8 @@
     std::optional<stagehinge::Dispatcher> module;
     std::optional<fleet::Loads> loads;
     std::uint64_t life = 0;
-    bool watching = false, tells_late = false;  // of counts that fell
+    bool watching = false;
+    bool tells_late = false;  // of counts that fell
     bool apart = false;
     int revision = 0;  // of the list that it holds
     std::map<stagehinge::RequestId, Job> jobs;
@@ -174,7 +197,8 @@
   stagehinge::Settings settings_;
   std::mt19937_64 random_;
   Time now_{};
-  std::uint64_t order_ = 0, number_ = 0;
+  std::uint64_t order_ = 0;
+  std::uint64_t number_ = 0;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   std::vector<Worker> workers_;
   std::map<std::string, std::size_t, std::less<>> by_id_;
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -35,9 +35,10 @@
 
 std::vector<int> members(const Members& m) {
   std::vector<int> out(m.member().begin(), m.member().end());
-  if (m.has_first())
+  if (m.has_first()) {
     for (std::uint32_t i = m.first(); i <= m.last(); ++i)
       out.push_back(static_cast<int>(i));
+  }
   return out;
 }
 
@@ -70,22 +71,26 @@
     for (const Members& m : all) {
       if (m.has_first() != m.has_last() || m.first() > m.last() || m.last() >= s.dispatchers())
         bad(path, at, "first and last must name a range of members");
-      for (int one : members(m))
+      for (int one : members(m)) {
         if (one >= static_cast<int>(s.dispatchers()))
           bad(path, at, "there is no member " + std::to_string(one));
+      }
     }
-    for (int w : members(step.workers().who()))
+    for (int w : members(step.workers().who())) {
       if (w < 0 || w >= static_cast<int>(s.workers()))
         bad(path, at, "there is no order worker " + std::to_string(w));
+    }
     const Path& p = step.path();
     if (p.from() >= s.dispatchers() || p.to() >= s.dispatchers())
       bad(path, at, "there is no such member");
-    for (double share : {p.loss(), p.twice(), p.spoilt()})
+    for (double share : {p.loss(), p.twice(), p.spoilt()}) {
       if (!(share >= 0 && share <= 1))
         bad(path, at, "a share must be from 0 to 1");
-    for (double ms : {p.delay_ms(), p.jitter_ms(), static_cast<double>(step.pass_ms())})
+    }
+    for (double ms : {p.delay_ms(), p.jitter_ms(), static_cast<double>(step.pass_ms())}) {
       if (!(ms >= 0 && ms <= 600'000))
         bad(path, at, "a time must be from 0 to 600000 ms");
+    }
     if (step.has_rate() && !(step.rate() > 0 && step.rate() <= 10'000 && s.rate() > 0))
       bad(path, at, "a rate must be from 0 to 10000, in a scenario that has one");
     if (step.what_case() == Step::WHAT_NOT_SET)
@@ -115,13 +120,14 @@
                  a.to_drained == 0 && a.longest <= 256;
     bool in_time = double(a.in_time) >= scenario_.useful() * double(a.begun);
     bool kept = rules && in_time;
-    if (scenario_.slots() > 0)
+    if (scenario_.slots() > 0) {
       std::printf(
           "orders begun for each that was handed in: %.2f; in time %.2f; turned away by workers "
           "%ld; longest "
           "line at one %d\n",
           double(a.begun) / double(a.given), double(a.in_time) / double(a.given),
           fleet_.workers().turned_away(), fleet_.workers().longest_line());
+    }
     std::printf(
         "verdict: %s; %llu orders, %llu answered, %llu well, %llu begun twice, %llu to drained "
         "workers, "
@@ -157,10 +163,12 @@
     std::set<int> left;
     for (std::uint32_t i = 0; i < scenario_.dispatchers(); ++i)
       left.insert(static_cast<int>(i));
-    for (const Step& s : scenario_.step())
-      for (const Members* m : {&s.crash(), &s.stop(), &s.end()})
+    for (const Step& s : scenario_.step()) {
+      for (const Members* m : {&s.crash(), &s.stop(), &s.end()}) {
         for (int i : members(*m))
           left.erase(i);
+      }
+    }
     if (left.empty())
       left.insert(0);
     return {left.begin(), left.end()};
@@ -232,12 +240,14 @@
 
   void workers(const Workers& w) {
     for (int i : members(w.who())) {
-      if (w.fault() == Workers::DRAIN)
+      if (w.fault() == Workers::DRAIN) {
         fleet_.drain(i);
-      else if (w.fault() == Workers::UP)
+      } else if (w.fault() == Workers::UP) {
         fleet_.raise(i);
-      else
-        ailed_ = true, fleet_.workers().ail(i, static_cast<WorkerFault>(w.fault()));
+      } else {
+        ailed_ = true;
+        fleet_.workers().ail(i, static_cast<WorkerFault>(w.fault()));
+      }
     }
     say(std::to_string(members(w.who()).size()) +
         " order workers: " + Workers::Fault_Name(w.fault()));
@@ -245,14 +255,20 @@
 
   void path(const Path& p) {
     Link link;
-    link.cut = p.cut(), link.loss = p.loss(), link.twice = p.twice(), link.spoilt = p.spoilt();
-    link.delay_ms = p.delay_ms(), link.jitter_ms = p.jitter_ms();
+    link.cut = p.cut();
+    link.loss = p.loss();
+    link.twice = p.twice();
+    link.spoilt = p.spoilt();
+    link.delay_ms = p.delay_ms();
+    link.jitter_ms = p.jitter_ms();
     int n = static_cast<int>(scenario_.dispatchers());
-    for (int from = 0; from < n; ++from)
-      for (int to = 0; to < n; ++to)
+    for (int from = 0; from < n; ++from) {
+      for (int to = 0; to < n; ++to) {
         if ((!p.has_from() || from == static_cast<int>(p.from())) &&
             (!p.has_to() || to == static_cast<int>(p.to())))
           fleet_.relays().set(from, to, link);
+      }
+    }
     say("paths changed");
   }
 
@@ -261,9 +277,10 @@
     std::vector<std::set<int>> parts;
     for (const auto& group : groups_) {
       std::set<int> up;
-      for (int i : group)
+      for (int i : group) {
         if (fleet_.up().contains(i))
           up.insert(i);
+      }
       if (!up.empty())
         parts.push_back(std::move(up));
     }
@@ -286,31 +303,39 @@
   void write(const std::string& folder, const ProcessFleet::Account& a, bool kept) {
     std::filesystem::create_directories(folder);
     Json::Value r;
-    r["kept"] = kept, r["orders"] = Json::UInt64{a.given}, r["answered"] = Json::UInt64{a.answered};
-    r["served"] = Json::UInt64{a.served}, r["to_drained"] = Json::UInt64{a.to_drained};
-    r["in_time"] = Json::UInt64{a.in_time}, r["recovered_s"] = recovered_;
+    r["kept"] = kept;
+    r["orders"] = Json::UInt64{a.given};
+    r["answered"] = Json::UInt64{a.answered};
+    r["served"] = Json::UInt64{a.served};
+    r["to_drained"] = Json::UInt64{a.to_drained};
+    r["in_time"] = Json::UInt64{a.in_time};
+    r["recovered_s"] = recovered_;
     r["turned_away"] = Json::Int64{fleet_.workers().turned_away()};
     r["longest_line"] = fleet_.workers().longest_line();
     r["list_calls"] = Json::Int64{fleet_.workers().list_calls()};
     for (int i : fleet_.up()) {  // of the last process of each that is up
       Json::Value one;
-      one["member"] = i, one["cpu_ms"] = fleet_.member(i).cpu_ms();
+      one["member"] = i;
+      one["cpu_ms"] = fleet_.member(i).cpu_ms();
       one["memory_kb"] = Json::UInt64{fleet_.member(i).memory_kb("VmRSS")};
       one["datagrams"] = fleet_.view(i)["sent"];
       r["members"].append(one);
     }
-    r["begun_twice"] = Json::UInt64{a.begun_twice}, r["settled_s"] = settled_;
+    r["begun_twice"] = Json::UInt64{a.begun_twice};
+    r["settled_s"] = settled_;
     r["datagrams_passed"] = Json::Int64{fleet_.relays().passed()};
     std::ofstream(folder + "/report.json") << r;
-    for (std::uint32_t i = 0; i < scenario_.dispatchers(); ++i)
+    for (std::uint32_t i = 0; i < scenario_.dispatchers(); ++i) {
       std::ofstream(folder + "/dispatcher-" + std::to_string(i) + ".log")
           << fleet_.member(static_cast<int>(i)).log();
+    }
   }
 
   const Scenario& scenario_;
   ProcessFleet fleet_;
   std::vector<std::vector<int>> groups_;
-  Json::Value settled_{Json::arrayValue}, recovered_{Json::arrayValue};
+  Json::Value settled_{Json::arrayValue};
+  Json::Value recovered_{Json::arrayValue};
   double begun_ = 0;
   bool ailed_ = false;
 };
@@ -347,7 +372,8 @@
 int main(int argc, char** argv) try {
   CLI::App line{"Plays scenarios on processes of oatledge, on the loopback."};
   line.require_subcommand(1);
-  std::string folder, id;
+  std::string folder;
+  std::string id;
   CLI::App* following = line.add_subcommand(
       "follow", "what a run's logs say of one order or member; exit 1: nothing");
   following->add_option("run", folder, "the folder of --report")
@@ -356,10 +382,12 @@
   following->add_option("id", id, "of an order, 16 hexadecimal digits, or a member's ADDRESS:PORT")
       ->required();
   CLI::App* run = line.add_subcommand("run", "play one; exit 0 where it was kept, 1 where not");
-  std::string path, report;
+  std::string path;
+  std::string report;
   std::uint32_t dispatchers = 0;
   ProcessFleet::Setup setup;
-  setup.program = "build/oatledge", setup.config = "examples/config.json";
+  setup.program = "build/oatledge";
+  setup.config = "examples/config.json";
   run->add_option("scenario", path, "in protobuf text format, proto/scenario.proto")->required();
   run->add_option("--dispatchers", dispatchers, "instead of the scenario's");
   run->add_option("--seed", setup.seed, "of what is lost, doubled and spoilt on the way");
@@ -370,14 +398,15 @@
   if (following->parsed())
     return follow(folder, id) > 0 ? 0 : 1;
   Scenario scenario = read(path, dispatchers);
-  setup.trace = !report.empty(), setup.rate = scenario.rate();
-  setup.slots = static_cast<int>(scenario.slots()),
+  setup.trace = !report.empty();
+  setup.rate = scenario.rate();
+  setup.slots = static_cast<int>(scenario.slots());
   setup.places = static_cast<int>(scenario.places());
   setup.work_ms = static_cast<int>(scenario.work_ms());
   setup.wanted_ms = static_cast<int>(scenario.wanted_ms());
-  setup.members = static_cast<int>(scenario.dispatchers()),
+  setup.members = static_cast<int>(scenario.dispatchers());
   setup.workers = static_cast<int>(scenario.workers());
-  setup.period_ms = static_cast<int>(scenario.period_ms()),
+  setup.period_ms = static_cast<int>(scenario.period_ms());
   setup.answer_ms = static_cast<int>(scenario.answer_ms());
   for (int plays = 1;; ++plays) {
     Judgement j = judge(Run(scenario, setup).play(report), plays);
--- a/lab/process_fleet.cpp
+++ b/lab/process_fleet.cpp
@@ -1,7 +1,7 @@
 #include "process_fleet.h"
 
 #include <json/reader.h>
-#include <signal.h>
+#include <csignal>
 
 #include <chrono>
 #include <cstdlib>
@@ -40,7 +40,8 @@
 
 void ProcessFleet::keys(int i, const std::string& text) {
   auto times = [&] {
-    std::string log = member(i).log(), said = "keys: read again";
+    std::string log = member(i).log();
+    std::string said = "keys: read again";
     int n = 0;
     for (std::size_t at = 0; (at = log.find(said, at)) != std::string::npos; ++at)
       ++n;
@@ -57,15 +58,21 @@
   if (member) {
     member->start_again();
   } else {
-    Json::Value more, peers(Json::arrayValue);
-    for (const std::string& p : relays_.all())
+    Json::Value more;
+    Json::Value peers(Json::arrayValue);
+    for (const std::string& p : relays_.all()) {
       if (setup_.seeds == 0)
         peers.append(p);
-    more["peer_listen"] = relays_.listen(i), more["peers"] = peers;
-    more["settings"]["Index"] = i, more["settings"]["Balancers"] = setup_.members;
+    }
+    more["peer_listen"] = relays_.listen(i);
+    more["peers"] = peers;
+    more["settings"]["Index"] = i;
+    more["settings"]["Balancers"] = setup_.members;
     more["settings"]["Permissions"]["Peers"] = true;
     Dispatcher::Setup one;
-    one.program = setup_.program, one.config = setup_.config, one.host = host_;
+    one.program = setup_.program;
+    one.config = setup_.config;
+    one.host = host_;
     one.features = "streaming {} fleet { period_ms: " + std::to_string(setup_.period_ms) +
                    " answer_ms: " + std::to_string(setup_.answer_ms) +
                    " forget_s: " + std::to_string(setup_.forget_s);
@@ -79,7 +86,9 @@
       one.features += " key_file: \"" + path + "\"";
     }
     one.features += " }";
-    one.sockets = 256, one.operators = true, one.trace = setup_.trace,
+    one.sockets = 256;
+    one.operators = true;
+    one.trace = setup_.trace;
     one.more = more.toStyledString();
     member = std::make_unique<Dispatcher>(one, workers_);
   }
@@ -92,7 +101,8 @@
 }
 
 void ProcessFleet::crash(int i) {
-  up_.erase(i), member(i).crash();
+  up_.erase(i);
+  member(i).crash();
 }
 
 int ProcessFleet::leave(int i) {
@@ -101,10 +111,12 @@
 }
 
 void ProcessFleet::stop(int i) {
-  up_.erase(i), kill(member(i).pid(), SIGSTOP);
+  up_.erase(i);
+  kill(member(i).pid(), SIGSTOP);
 }
 void ProcessFleet::wake(int i) {
-  up_.insert(i), kill(member(i).pid(), SIGCONT);
+  up_.insert(i);
+  kill(member(i).pid(), SIGCONT);
 }
 
 Json::Value ProcessFleet::view(int i) {
@@ -146,12 +158,14 @@
   auto one = [this, addresses](std::uint64_t id) {
     Order o;
     const std::string& to = addresses[id % addresses.size()];
-    o.id = id, o.time_left_ms = 10'000;
+    o.id = id;
+    o.time_left_ms = 10'000;
     o.query = "work=" + std::to_string(setup_.work_ms);
-    if (setup_.slots > 0)
+    if (setup_.slots > 0) {
       o.query += "&news=1&back=" + to.substr(to.find(':') + 1);
-    else
+    } else {
       o.query += "&reply=8";
+    }
     o.extra_headers = "X-Weight-Hint: " + std::to_string(1000 * setup_.work_ms) + "\r\n";
     Answer a = hand_in(to, o);
     std::lock_guard lock(mutex_);
@@ -179,13 +193,17 @@
 
 bool ProcessFleet::in_time(std::uint64_t since) {
   std::lock_guard lock(mutex_);
-  int good = 0, all = 0;  // of the last hundred in a row
+  int good = 0;
+  int all = 0;  // of the last hundred in a row
   for (auto it = good_.upper_bound(since); it != good_.end(); ++it) {
     if (!good_.contains(it->first - 1))
       good = all = 0;
-    good += it->second, ++all;
-    if (all > 100)
-      --all, good -= good_.at(it->first - 100);
+    good += it->second;
+    ++all;
+    if (all > 100) {
+      --all;
+      good -= good_.at(it->first - 100);
+    }
     if (all == 100 && good >= 95)
       return true;
   }
@@ -214,7 +232,10 @@
     auto drained = drained_.find(s.uid);
     a.to_drained += drained != drained_.end() && std::stoull(s.id, nullptr, 16) > drained->second;
   }
-  a.given = given_, a.answered = answered_, a.served = served_, a.longest = relays_.longest();
+  a.given = given_;
+  a.answered = answered_;
+  a.served = served_;
+  a.longest = relays_.longest();
   for (const auto& [id, times] : begun)
     a.begun_twice += times > 1;
   std::lock_guard lock(mutex_);
--- a/lab/process_fleet.h
+++ b/lab/process_fleet.h
@@ -22,16 +22,21 @@
 class ProcessFleet {
  public:
   struct Setup {
-    std::string program, config;  // config: a file
-    int members = 8, workers = 3;
-    int period_ms = 200, answer_ms = 60;  // of the fleet's view
-    std::uint64_t seed = 1;               // of what the relays draw
-    std::string keys{};  // text of the key file that each has of its own; empty: none
-    int seeds = 0;       // each knows so many of the first members; 0: all as peers
+    std::string program;
+    std::string config;  // config: a file
+    int members = 8;
+    int workers = 3;
+    int period_ms = 200;
+    int answer_ms = 60;      // of the fleet's view
+    std::uint64_t seed = 1;  // of what the relays draw
+    std::string keys{};      // text of the key file that each has of its own; empty: none
+    int seeds = 0;           // each knows so many of the first members; 0: all as peers
     int forget_s = 3600;
     bool trace = false;
-    int slots = 0, places = 0;       // of each worker; 0: any number of orders at a time
-    int work_ms = 5, wanted_ms = 0;  // of each order; wanted_ms: after this it is late
+    int slots = 0;
+    int places = 0;  // of each worker; 0: any number of orders at a time
+    int work_ms = 5;
+    int wanted_ms = 0;  // of each order; wanted_ms: after this it is late
     double rate = 0;  // orders a second, whether the ones before have been answered or not; 0: one
                       // after another
   };
@@ -74,8 +79,12 @@
   std::uint64_t given() const { return given_; }
   bool in_time(std::uint64_t since);
   struct Account {  // by what the stand-ins saw
-    std::uint64_t given = 0, answered = 0, served = 0, begun_twice = 0;
-    std::uint64_t begun = 0, in_time = 0;
+    std::uint64_t given = 0;
+    std::uint64_t answered = 0;
+    std::uint64_t served = 0;
+    std::uint64_t begun_twice = 0;
+    std::uint64_t begun = 0;
+    std::uint64_t in_time = 0;
     std::uint64_t to_drained = 0;  // handed in after all had been told
     long longest = 0;              // datagram, in bytes
   };
@@ -83,14 +92,17 @@
 
  private:
   Setup setup_;
-  std::string host_, folder_;  // folder: of key files
+  std::string host_;
+  std::string folder_;  // folder: of key files
   Fleet workers_;
   Relays relays_;
   std::vector<std::unique_ptr<Dispatcher>> members_;
   std::set<int> up_;
   std::thread orders_;
   std::atomic<bool> over_{false};
-  std::atomic<std::uint64_t> given_{0}, answered_{0}, served_{0};
+  std::atomic<std::uint64_t> given_{0};
+  std::atomic<std::uint64_t> answered_{0};
+  std::atomic<std::uint64_t> served_{0};
   std::atomic<double> rate_{0};
   std::mutex mutex_;                    // of what follows
   std::map<std::uint64_t, bool> good_;  // by order that has been answered: in time
--- a/lab/relays.cpp
+++ b/lab/relays.cpp
@@ -77,13 +77,16 @@
 
 void Relays::split(const std::vector<std::vector<int>>& groups) {
   std::lock_guard lock(mutex_);
-  for (auto& row : links_)
+  for (auto& row : links_) {
     for (Link& link : row)
       link.cut = true;
-  for (const auto& group : groups)
-    for (int a : group)
+  }
+  for (const auto& group : groups) {
+    for (int a : group) {
       for (int b : group)
         links_.at(static_cast<std::size_t>(a)).at(static_cast<std::size_t>(b)).cut = false;
+    }
+  }
 }
 
 void Relays::pass(const Late& late) {
@@ -125,9 +128,10 @@
         std::string bytes(buffer, static_cast<std::size_t>(n));
         if (!bytes.empty() && chance(random_) < link.spoilt)
           bytes[random_() % bytes.size()] ^= static_cast<char>(1 << random_() % 8);
-        for (int copies = chance(random_) < link.twice ? 2 : 1; copies > 0; --copies)
+        for (int copies = chance(random_) < link.twice ? 2 : 1; copies > 0; --copies) {
           late_.push({now_ms() + link.delay_ms + link.jitter_ms * chance(random_), ++order_,
                       member->second, static_cast<int>(to), bytes});
+        }
       }
     }
     for (; !late_.empty() && late_.top().at <= now_ms(); late_.pop())
--- a/lab/relays.h
+++ b/lab/relays.h
@@ -18,8 +18,11 @@
 
 struct Link {  // one way
   bool cut = false;
-  double loss = 0, twice = 0, spoilt = 0;  // shares of the datagrams
-  double delay_ms = 0, jitter_ms = 0;      // jitter reorders
+  double loss = 0;
+  double twice = 0;
+  double spoilt = 0;  // shares of the datagrams
+  double delay_ms = 0;
+  double jitter_ms = 0;  // jitter reorders
 };
 
 class Relays {
@@ -43,7 +46,8 @@
   struct Late {
     double at;
     std::uint64_t order;
-    int from, to;
+    int from;
+    int to;
     std::string bytes;
     bool operator<(const Late& o) const { return at != o.at ? at > o.at : order > o.order; }
   };
@@ -51,7 +55,8 @@
   void pass(const Late& late);
 
   std::vector<int> sockets_;
-  std::vector<std::string> inner_, outer_;
+  std::vector<std::string> inner_;
+  std::vector<std::string> outer_;
   std::map<std::pair<std::uint32_t, std::uint16_t>, int>
       members_;  // by the address of their own sockets
   std::mutex mutex_;
@@ -59,7 +64,9 @@
   std::mt19937_64 random_;
   std::priority_queue<Late> late_;
   std::uint64_t order_ = 0;
-  std::atomic<long> passed_{0}, dropped_{0}, longest_{0};
+  std::atomic<long> passed_{0};
+  std::atomic<long> dropped_{0};
+  std::atomic<long> longest_{0};
   std::atomic<bool> over_{false};
   std::thread thread_;
 };
--- a/lab/standins.cpp
+++ b/lab/standins.cpp
@@ -11,12 +11,12 @@
 #include <openssl/evp.h>
 #include <poll.h>
 #include <sched.h>
-#include <signal.h>
 #include <spawn.h>
 #include <sys/resource.h>
 #include <sys/socket.h>
 #include <sys/wait.h>
 #include <unistd.h>
+#include <csignal>
 
 #include <algorithm>
 #include <chrono>
@@ -27,8 +27,6 @@
 #include <stdexcept>
 #include <utility>
 
-extern char** environ;
-
 namespace oatledge::lab {
 namespace {
 
@@ -157,13 +155,15 @@
   }
   void moved(std::size_t n) {
     done_ += n;
-    if (rate_)
+    if (rate_) {
       std::this_thread::sleep_until(start_ +
                                     std::chrono::duration<double>(double(done_) / double(rate_)));
+    }
   }
 
  private:
-  std::uint64_t rate_, done_ = 0;
+  std::uint64_t rate_;
+  std::uint64_t done_ = 0;
   Clock::time_point start_ = Clock::now();
 };
 
@@ -192,9 +192,10 @@
       return false;
     if (size > 0 && (!wire.line(line) || !line.empty()))
       return false;
-    while (size == 0 && wire.line(line))
+    while (size == 0 && wire.line(line)) {
       if (line.empty())
         return true;
+    }
   }
   return false;
 }
@@ -230,9 +231,10 @@
   Query q;
   std::size_t mark = target.find('?');
   std::istringstream in(mark == std::string::npos ? "" : target.substr(mark + 1));
-  for (std::string pair; std::getline(in, pair, '&');)
+  for (std::string pair; std::getline(in, pair, '&');) {
     if (std::size_t equals = pair.find('='); equals != std::string::npos)
       q[pair.substr(0, equals)] = std::stoull(pair.substr(equals + 1));
+  }
   return q;
 }
 
@@ -272,8 +274,10 @@
   };
   std::size_t done = 0;
   while (done < n) {
-    std::uint64_t at = from + done, w = word(at / 8);
-    std::size_t skip = at % 8, piece = std::min<std::size_t>(8 - skip, n - done);
+    std::uint64_t at = from + done;
+    std::uint64_t w = word(at / 8);
+    std::size_t skip = at % 8;
+    std::size_t piece = std::min<std::size_t>(8 - skip, n - done);
     std::memcpy(out + done, reinterpret_cast<const char*>(&w) + skip, piece);
     done += piece;
   }
@@ -380,13 +384,15 @@
 
 std::string Fleet::list() {
   std::string targets;
-  for (const Worker& w : workers_)
-    if (w.state != "removed")
-      targets += (targets.empty() ? "" : ",") + std::string("{\"uid\":\"") + w.uid +
-                 "\",\"endpoint\":\"" + w.address +
-                 "\",\"az\":\"room\",\"model\":\"std\",\"pod_group\":0,\"state\":\"" + w.state +
-                 "\",\"capacity_hint\":8.0,\"boot_ms\":0}";
-  return "{\"rev\":" + std::to_string(revision_) + ",\"all\":true,\"targets\":[" + targets + "]}";
+  for (const Worker& w : workers_) {
+    if (w.state != "removed") {
+      targets += (targets.empty() ? "" : ",") + std::string(R"({"uid":")") + w.uid +
+                 R"(","endpoint":")" + w.address +
+                 R"(","az":"room","model":"std","pod_group":0,"state":")" + w.state +
+                 R"(","capacity_hint":8.0,"boot_ms":0})";
+    }
+  }
+  return "{\"rev\":" + std::to_string(revision_) + R"(,"all":true,"targets":[)" + targets + "]}";
 }
 
 int Fleet::told_to() {
@@ -429,8 +435,8 @@
     std::unique_lock lock(mutex_);
     if (list_fault_.kind == ListFault::Down)
       return;
-    bool few = list_fault_.kind == ListFault::Few,
-         slow = few || list_fault_.kind == ListFault::Slow;
+    bool few = list_fault_.kind == ListFault::Few;
+    bool slow = few || list_fault_.kind == ListFault::Slow;
     if (few && at_list_ >= list_fault_.amount) {
       lock.unlock();
       if (!wire.send(plain(503, "", "")))
@@ -456,10 +462,11 @@
     }
     if (list_fault_.kind == ListFault::Down)
       return;
-    bool old = list_fault_.kind == ListFault::Old, empty = list_fault_.kind == ListFault::Empty;
+    bool old = list_fault_.kind == ListFault::Old;
+    bool empty = list_fault_.kind == ListFault::Empty;
     std::string text =
         old     ? old_list_
-        : empty ? "{\"rev\":" + std::to_string(revision_) + ",\"all\":true,\"targets\":[]}"
+        : empty ? "{\"rev\":" + std::to_string(revision_) + R"(,"all":true,"targets":[]})"
                 : list();
     int revision = revision_;
     lock.unlock();
@@ -473,7 +480,8 @@
 
 void Fleet::limit(int slots, int places) {
   std::lock_guard lock(mutex_);
-  slots_ = slots, places_ = places;
+  slots_ = slots;
+  places_ = places;
 }
 
 std::string Fleet::load_of(const Worker& w) const {
@@ -512,23 +520,24 @@
   wire.drop();
   lock.lock();
   moved_.wait(lock, [&] { return over_ || (w.line.front() == seen.id && w.running < slots_); });
-  w.line.pop_front(), ++w.running;
+  w.line.pop_front();
+  ++w.running;
   seen_.push_back(seen);
   lock.unlock();
   moved_.notify_all();
-  std::string about = "{\"id\":\"" + seen.id + "\",\"from\":\"" + uid + "\",\"state\":";
+  std::string about = R"({"id":")" + seen.id + R"(","from":")" + uid + R"(","state":)";
   if (!over_)
     news(q, about + "\"started\"}");
   if (!over_)
     std::this_thread::sleep_for(std::chrono::milliseconds(q["work"]));
   lock.lock();
   --w.running;
-  std::string load = "\"load\":{\"x0\":" + std::to_string(slots_ - w.running) +
+  std::string load = R"("load":{"x0":)" + std::to_string(slots_ - w.running) +
                      ",\"q\":" + std::to_string(w.line.size()) + "}";
   lock.unlock();
   moved_.notify_all();
   if (!over_)
-    news(q, about + "\"done\",\"result\":\"" + seen.sha + "\"," + load + "}");
+    news(q, about + R"("done","result":")" + seen.sha + "\"," + load + "}");
   return false;
 }
 
@@ -617,8 +626,8 @@
       keep();
       up = wire.send(plain(202, "", ""));
       std::this_thread::sleep_for(std::chrono::milliseconds(q["late"]));
-      news(q, "{\"id\":\"" + seen.id + "\",\"from\":\"" + uid +
-                  "\",\"state\":\"done\",\"result\":\"" + seen.sha + "\",\"load\":{\"x0\":64}}");
+      news(q, R"({"id":")" + seen.id + R"(","from":")" + uid + R"(","state":"done","result":")" +
+                  seen.sha + R"(","load":{"x0":64}})");
     } else if (!q.contains("reply")) {
       keep();
       up = wire.send(plain(200, load, seen.sha));
@@ -654,7 +663,8 @@
     head += std::string("Idempotency-Key: k") + id + "\r\n";
   head += o.chunked ? "Transfer-Encoding: chunked\r\n\r\n"
                     : "Content-Length: " + std::to_string(o.upload) + "\r\n\r\n";
-  Sha256 sent, got;
+  Sha256 sent;
+  Sha256 got;
   if (!wire.send(head))
     return a;
   if (o.query.find("nice=1") != std::string::npos)
@@ -747,11 +757,13 @@
 
 namespace {
 void lay_over(Json::Value& under, const Json::Value& over) {
-  for (const std::string& name : over.getMemberNames())
-    if (over[name].isObject() && under[name].isObject())
+  for (const std::string& name : over.getMemberNames()) {
+    if (over[name].isObject() && under[name].isObject()) {
       lay_over(under[name], over[name]);
-    else
+    } else {
       under[name] = over[name];
+    }
+  }
 }
 }  // namespace
 
@@ -763,7 +775,8 @@
   fleet.call_back_to(address_);
   Json::Value config;
   std::ifstream(s.config) >> config;
-  config["listen"] = address_, config["discovery"] = fleet.discovery();
+  config["listen"] = address_;
+  config["discovery"] = fleet.discovery();
   config["limits"]["sockets"] = s.sockets;
   if (!s.more.empty()) {
     Json::Value more;
@@ -784,10 +797,11 @@
     arguments.insert(arguments.end(), {"--trace", "--log-format", "json"});
   arguments.push_back(nullptr);
   std::vector<std::string> variables{"ROUTER_CONFIG=" + folder_ + "/config.json"};
-  for (char** e = environ; *e; ++e)
+  for (char** e = environ; *e; ++e) {
     if (!std::string_view(*e).starts_with("ROUTER_") &&
         !std::string_view(*e).starts_with("TMPDIR="))
       variables.push_back(*e);
+  }
   if (setup_.operators) {
     operators_ = free_address();
     variables.insert(variables.end(), {"ROUTER_OPS=" + operators_, "TMPDIR=" + folder_ + "/tmp"});
@@ -824,14 +838,18 @@
 }
 
 bool Dispatcher::start_beside() {
-  old_pid_ = std::exchange(pid_, -1), old_operators_ = operators_;
+  old_pid_ = std::exchange(pid_, -1);
+  old_operators_ = operators_;
   try {
     start(false);
     return true;
   } catch (const std::runtime_error&) {
-    if (pid_ > 0)
-      kill(pid_, SIGKILL), waitpid(pid_, nullptr, 0);
-    pid_ = std::exchange(old_pid_, -1), operators_ = old_operators_;
+    if (pid_ > 0) {
+      kill(pid_, SIGKILL);
+      waitpid(pid_, nullptr, 0);
+    }
+    pid_ = std::exchange(old_pid_, -1);
+    operators_ = old_operators_;
     return false;
   }
 }
@@ -846,16 +864,20 @@
   kill(pid_, SIGKILL);
   waitpid(pid_, nullptr, 0);
   pid_ = std::exchange(old_pid_, -1);
-  if (pid_ > 0)
+  if (pid_ > 0) {
     operators_ = old_operators_;
-  else
+  } else {
     start(true);
+  }
 }
 
 Dispatcher::~Dispatcher() {
-  for (int pid : {pid_, old_pid_})
-    if (pid > 0)
-      kill(pid, SIGKILL), waitpid(pid, nullptr, 0);
+  for (int pid : {pid_, old_pid_}) {
+    if (pid > 0) {
+      kill(pid, SIGKILL);
+      waitpid(pid, nullptr, 0);
+    }
+  }
   std::error_code ignored;
   std::filesystem::remove_all(folder_, ignored);
 }
@@ -884,16 +906,18 @@
 
 std::uint64_t Dispatcher::memory_kb(const char* field) const {
   std::ifstream in("/proc/" + std::to_string(pid_) + "/status");
-  for (std::string line; std::getline(in, line);)
+  for (std::string line; std::getline(in, line);) {
     if (line.starts_with(field))
       return std::stoull(line.substr(line.find(':') + 1));
+  }
   return 0;
 }
 
 namespace {
 std::pair<double, double> read_schedstat(pid_t pid) {  // time on a core and in line for one, in ms
   std::ifstream in("/proc/" + std::to_string(pid) + "/schedstat");
-  double on_core = 0, in_line = 0;
+  double on_core = 0;
+  double in_line = 0;
   in >> on_core >> in_line;
   return {on_core / 1e6, in_line / 1e6};
 }
--- a/lab/standins.h
+++ b/lab/standins.h
@@ -61,8 +61,10 @@
   Fail     // 500 to each order, after it has begun
 };
 
-struct Seen {                // by a worker, of one attempt
-  std::string id, uid, sha;  // of the upload as it came
+struct Seen {  // by a worker, of one attempt
+  std::string id;
+  std::string uid;
+  std::string sha;  // of the upload as it came
   std::uint64_t bytes = 0;
   bool begun = false;  // its last byte has come
 };
@@ -95,7 +97,9 @@
 
  private:
   struct Worker {
-    std::string uid, address, state = "up";
+    std::string uid;
+    std::string address;
+    std::string state = "up";
     WorkerFault fault = WorkerFault::None;
     int running = 0;
     std::deque<std::string> line;  // ids that wait
@@ -109,17 +113,21 @@
   void serve_worker(int fd, const std::string& uid);
   std::string list();
 
-  std::string host_, discovery_, dispatcher_;
+  std::string host_;
+  std::string discovery_;
+  std::string dispatcher_;
   std::vector<Worker> workers_;
   std::mutex mutex_;  // of what follows
-  int revision_ = 1, asked_after_ = 0;
+  int revision_ = 1;
+  int asked_after_ = 0;
   std::vector<Seen> seen_;
   std::map<std::string, int> tries_;
   std::map<int, int> told_;  // revision told last on each open watch
   ListFault list_fault_;
   std::string old_list_;
   int at_list_ = 0;  // calls that it is serving
-  int slots_ = 0, places_ = 0;
+  int slots_ = 0;
+  int places_ = 0;
   std::condition_variable moved_;  // somebody left a slot or a line
   std::atomic<long> turned_away_{0};
   std::atomic<int> longest_line_{0};
@@ -132,21 +140,30 @@
 
 struct Order {
   std::uint64_t id = 0;
-  std::string job_class = "place-order", query, extra_headers;
-  std::uint64_t upload = 0, seed = 0, rate_up = 0, rate_down = 0;  // bytes, bytes a second
+  std::string job_class = "place-order";
+  std::string query;
+  std::string extra_headers;
+  std::uint64_t upload = 0;
+  std::uint64_t seed = 0;
+  std::uint64_t rate_up = 0;
+  std::uint64_t rate_down = 0;  // bytes, bytes a second
   bool chunked = false;
-  std::uint64_t leave_after = UINT64_MAX, leave_reply_after = UINT64_MAX;  // bytes; then it closes
+  std::uint64_t leave_after = UINT64_MAX;
+  std::uint64_t leave_reply_after = UINT64_MAX;  // bytes; then it closes
   int time_left_ms = 60'000;
   std::uint64_t pause_at = UINT64_MAX;  // bytes sent; then it waits for go_on()
   std::function<bool()> go_on;
 };
 struct Answer {
-  int status = 0;                   // 0: none came
-  std::string body, sha, sent_sha;  // the body's first 4 KiB
+  int status = 0;  // 0: none came
+  std::string body;
+  std::string sha;
+  std::string sent_sha;  // the body's first 4 KiB
   std::uint64_t bytes = 0;
   bool whole = false;   // by its own framing
   bool unread = false;  // something came behind it
-  double ms = 0, head_ms = 0;
+  double ms = 0;
+  double head_ms = 0;
 };
 Answer hand_in(const std::string& address, const Order& order);
 
@@ -175,7 +192,10 @@
 class Dispatcher {
  public:
   struct Setup {
-    std::string program, config, features, host;  // config: a file; features: a text, empty: none
+    std::string program;
+    std::string config;
+    std::string features;
+    std::string host;  // config: a file; features: a text, empty: none
     int sockets = 4096;
     bool operators = false;  // with an address for them, and a $TMPDIR
     std::string more{};      // JSON that goes over the configuration, object by object
@@ -205,8 +225,12 @@
   void start(bool wait_at_clients);
   std::string free_address() const;
   Setup setup_;
-  std::string folder_, address_, operators_, old_operators_;
-  int pid_ = -1, old_pid_ = -1;
+  std::string folder_;
+  std::string address_;
+  std::string operators_;
+  std::string old_operators_;
+  int pid_ = -1;
+  int old_pid_ = -1;
 };
 
 void run_on(int first, int last);  // this thread, on these cores, where there are so many
--- a/lab/starved.h
+++ b/lab/starved.h
@@ -10,15 +10,18 @@
 
 // Of /proc/stat: ticks of all cores, and those of them that the machine below had for others.
 struct CoreTicks {
-  double all = 0, stolen = 0;
+  double all = 0;
+  double stolen = 0;
 };
 inline CoreTicks read_core_ticks(std::istream& stat) {
   CoreTicks t;
   std::string word;
   stat >> word;  // "cpu": user, nice, system, idle, iowait, irq, softirq, steal
   double n = 0;
-  for (int i = 0; i < 8 && stat >> n; ++i)
-    t.all += n, t.stolen = i == 7 ? n : 0;
+  for (int i = 0; i < 8 && stat >> n; ++i) {
+    t.all += n;
+    t.stolen = i == 7 ? n : 0;
+  }
   return t;
 }
 inline double stolen_part(const CoreTicks& from, const CoreTicks& to) {
@@ -34,8 +37,9 @@
 constexpr int kMostPlays = 3;
 
 struct Verdict {
-  bool rules = true, in_time = true;  // kept
-  double starved = 0;                 // waited for a core, as a part of the time
+  bool rules = true;
+  bool in_time = true;  // kept
+  double starved = 0;   // waited for a core, as a part of the time
 };
 enum class Judgement { Kept, Broken, PlayAgain };
 inline Judgement judge(const Verdict& v, int plays) {
--- a/lab/view_world.h
+++ b/lab/view_world.h
@@ -38,14 +38,15 @@
   void start(int i) {  // again, after a crash: without what it knew
     Node& node = nodes_[static_cast<std::size_t>(i)];
     View::Options o;
-    o.self = at(i),
+    o.self = at(i);
     o.incarnation = static_cast<std::uint32_t>(now_.time_since_epoch().count() / 1000) + 1;
     o.seed = random_();
     for (std::size_t k = 0; k < nodes_.size(); ++k)
       o.others.push_back(at(static_cast<int>(k)));
     if (options)
       options(o);
-    node.up = true, node.lowest = 0;
+    node.up = true;
+    node.lowest = 0;
     node.view = std::make_unique<View>(
         o, now_, [this, i](const Endpoint& to, const std::string& bytes) { send(i, to, bytes); },
         [this](const Endpoint&, State state, std::uint32_t, bool other) {
@@ -65,9 +66,12 @@
       now_ += Duration(50);
       for (; !mail_.empty() && mail_.top().at <= now_; mail_.pop())
         deliver(mail_.top());
-      for (auto& n : nodes_)
-        if (n.up && !n.stopped)
-          n.view->tick(now_);
+      for (auto& n : nodes_) {
+        {
+          if (n.up && !n.stopped)
+            n.view->tick(now_);
+        }
+      }
       for (auto& n : nodes_) {
         fell |= n.view->incarnation() < n.lowest;
         n.lowest = n.view->incarnation();
@@ -99,26 +103,33 @@
   // What is made of a datagram on its way; an empty one is lost. For variants that are broken on
   // purpose.
   std::function<std::string(int from, int to, const std::string&)> tamper;
-  long sent = 0, bytes = 0, longest = 0, refused = 0;
-  long suspected = 0, died = 0;  // times that somebody came to hold another so
-  bool fell = false;             // somebody's incarnation has
+  long sent = 0;
+  long bytes = 0;
+  long longest = 0;
+  long refused = 0;
+  long suspected = 0;
+  long died = 0;      // times that somebody came to hold another so
+  bool fell = false;  // somebody's incarnation has
 
  private:
   struct Node {
     std::unique_ptr<View> view;
     std::uint32_t lowest = 0;
-    bool up = true, stopped = false;
+    bool up = true;
+    bool stopped = false;
   };
   struct Mail {
     Time at;
     long order;
-    int from, to;
+    int from;
+    int to;
     std::string bytes;
     bool operator<(const Mail& o) const { return std::tie(at, order) > std::tie(o.at, o.order); }
   };
   void send(int from, const Endpoint& to, const std::string& text) {
-    ++sent, bytes += static_cast<long>(text.size()),
-        longest = std::max(longest, static_cast<long>(text.size()));
+    ++sent;
+    bytes += static_cast<long>(text.size());
+    longest = std::max(longest, static_cast<long>(text.size()));
     int index = static_cast<int>(to.address - at(0).address);
     if (index < 0 || index >= static_cast<int>(nodes_.size()) || cut(from, index))
       return;
--- a/src/data.cpp
+++ b/src/data.cpp
@@ -49,10 +49,11 @@
   for (Duration d : {s.tick, s.answer_slack, s.must_ask_in, s.drain_grace, s.ramp_time,
                      s.progress_every, s.max_retry_after})
     need(ms(d) >= 0, "a time is negative");
-  for (const ClassSettings& c : s.classes)
+  for (const ClassSettings& c : s.classes) {
     need(ms(c.aim) >= 0 && ms(c.deadline) >= 0 && ms(c.memory_span) >= 0 && c.stretch >= 0 &&
              c.worth >= 0,
          "a class has a negative time, stretch or worth");
+  }
 }
 
 double HintHistogram::lower_edge(std::size_t bin) {
@@ -60,10 +61,16 @@
 }
 
 void HintHistogram::Bin::operator+=(const Bin& o) {
-  count += o.count, work += o.work, square += o.square, inverse += o.inverse;
+  count += o.count;
+  work += o.work;
+  square += o.square;
+  inverse += o.inverse;
 }
 void HintHistogram::Bin::operator-=(const Bin& o) {
-  count -= o.count, work -= o.work, square -= o.square, inverse -= o.inverse;
+  count -= o.count;
+  work -= o.work;
+  square -= o.square;
+  inverse -= o.inverse;
 }
 
 HintHistogram::HintHistogram() : bins_(30 * kBinsPerOctave) {}
@@ -73,9 +80,14 @@
   if (steps < 1)
     return;
   double keep = std::exp2(-Duration(steps * 1000) / kHalfLife);
-  for (Bin& b : bins_)
-    b.count *= keep, b.work *= keep, b.square *= keep, b.inverse *= keep;
-  count_ *= keep, work_ *= keep;
+  for (Bin& b : bins_) {
+    b.count *= keep;
+    b.work *= keep;
+    b.square *= keep;
+    b.inverse *= keep;
+  }
+  count_ *= keep;
+  work_ *= keep;
   decayed_ += Duration(steps * 1000);
 }
 
@@ -89,8 +101,12 @@
   auto last = static_cast<double>(bins_.size() - 1);
   Bin& b =
       bins_[static_cast<std::size_t>(std::clamp(std::floor(octave * kBinsPerOctave), 0.0, last))];
-  b.count += 1, b.work += work_ms, b.square += work_ms * work_ms, b.inverse += 1 / work_ms;
-  count_ += 1, work_ += work_ms;
+  b.count += 1;
+  b.work += work_ms;
+  b.square += work_ms * work_ms;
+  b.inverse += 1 / work_ms;
+  count_ += 1;
+  work_ += work_ms;
 }
 
 double HintHistogram::work_rate(Time now) const {
@@ -116,13 +132,21 @@
 void HintModel::learn(double hint_ms, double seen_ms) {
   if (!(hint_ms > 0 && seen_ms > 0))
     return;
-  double x = std::log(hint_ms), y = std::log(seen_ms);
-  n_ = kKeep * n_ + 1, hint_var_ *= kKeep, seen_var_ *= kKeep, both_ *= kKeep;
-  double dx = x - hint_mean_, dy = y - seen_mean_;
-  hint_mean_ += dx / n_, seen_mean_ += dy / n_;
-  hint_var_ += dx * (x - hint_mean_), seen_var_ += dy * (y - seen_mean_),
-      both_ += dx * (y - seen_mean_);
-  hints_ = kKeep * hints_ + hint_ms, bent_ = kKeep * bent_ + std::pow(hint_ms, slope());
+  double x = std::log(hint_ms);
+  double y = std::log(seen_ms);
+  n_ = kKeep * n_ + 1;
+  hint_var_ *= kKeep;
+  seen_var_ *= kKeep;
+  both_ *= kKeep;
+  double dx = x - hint_mean_;
+  double dy = y - seen_mean_;
+  hint_mean_ += dx / n_;
+  seen_mean_ += dy / n_;
+  hint_var_ += dx * (x - hint_mean_);
+  seen_var_ += dy * (y - seen_mean_);
+  both_ += dx * (y - seen_mean_);
+  hints_ = kKeep * hints_ + hint_ms;
+  bent_ = kKeep * bent_ + std::pow(hint_ms, slope());
 }
 
 }  // namespace stagehinge
--- a/src/features/features.cpp
+++ b/src/features/features.cpp
@@ -17,7 +17,8 @@
 
 struct Range {
   const char* field;
-  std::uint64_t low, high;
+  std::uint64_t low;
+  std::uint64_t high;
 };
 // Lower ends keep the program working, higher ends keep sums of them in range.
 constexpr Range kStreaming[] = {
@@ -88,13 +89,15 @@
   parser.WriteLocationsTo(&where);
   Features all;
   bool parsed = parser.ParseFromString(text, &all);
-  if (parsed && all.has_streaming())
+  if (parsed && all.has_streaming()) {
     check_streaming(all.streaming(),
                     where.GetTreeForNested(all.GetDescriptor()->FindFieldByName("streaming"), -1),
                     faults);
-  if (parsed && all.has_fleet())
+  }
+  if (parsed && all.has_fleet()) {
     check_fleet(all.fleet(),
                 where.GetTreeForNested(all.GetDescriptor()->FindFieldByName("fleet"), -1), faults);
+  }
   if (!faults.text().empty())
     throw BadFeatures(faults.text());
   if (!parsed)
--- a/src/fleet/bytes.h
+++ b/src/fleet/bytes.h
@@ -20,7 +20,8 @@
   return value;
 }
 inline void put(std::string& out, const Endpoint& e) {
-  put(out, e.address, 4), put(out, e.port, 2);
+  put(out, e.address, 4);
+  put(out, e.port, 2);
 }
 inline Endpoint get_endpoint(std::string_view in, std::size_t at) {
   return {static_cast<std::uint32_t>(get(in, at, 4)),
--- a/src/fleet/loads.cpp
+++ b/src/fleet/loads.cpp
@@ -20,9 +20,10 @@
 // overlap in all ways and a crowd at one dispatcher spreads over the whole fleet.
 std::vector<int> near_to(std::string_view worker, int dispatchers) {
   std::vector<std::pair<std::uint64_t, int>> order;
-  for (int i = 0; i < dispatchers; ++i)
+  for (int i = 0; i < dispatchers; ++i) {
     order.emplace_back(
         XXH3_64bits_withSeed(worker.data(), worker.size(), static_cast<XXH64_hash_t>(i) + 1), i);
+  }
   std::size_t many = std::min(kNear, order.size());
   std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(many), order.end());
   std::vector<int> near;
@@ -63,13 +64,15 @@
   std::erase_if(workers_, [&](const auto& w) { return !named.contains(w.first); });
   std::erase_if(waiting_, [&](std::uint16_t name) { return !named.contains(name); });
   near_.clear();
-  for (auto& [name, w] : workers_)
+  for (auto& [name, w] : workers_) {
     if (!w.told.empty())
       near_[name] = &w;
+  }
   of_one_.clear();
-  for (const auto& [name, w] : workers_)
+  for (const auto& [name, w] : workers_) {
     for (const auto& [sender, claim] : w.claims)
       of_one_[sender] += claim.jobs;
+  }
 }
 
 bool Loads::untold(const Worker& w) const {
@@ -84,9 +87,10 @@
 
 std::vector<int> Loads::listeners(const std::string& worker) const {
   std::vector<int> all;
-  if (auto it = workers_.find(short_name(worker)); it != workers_.end())
+  if (auto it = workers_.find(short_name(worker)); it != workers_.end()) {
     for (const auto& [listener, told] : it->second.told)
       all.push_back(listener);
+  }
   return all;
 }
 
@@ -97,11 +101,13 @@
   Worker& w = it->second;
   if (!waiting_.contains(it->first))
     w.changed = now;
-  w.jobs = std::clamp(jobs, 0, kMostTold), w.used |= jobs > 0;
-  if (untold(w))
+  w.jobs = std::clamp(jobs, 0, kMostTold);
+  w.used |= jobs > 0;
+  if (untold(w)) {
     waiting_.insert(it->first);
-  else
+  } else {
     waiting_.erase(it->first);  // a new job has taken the place of the one that ended
+  }
 }
 
 bool Loads::somebody_idle() const {
@@ -113,12 +119,13 @@
 std::vector<Loads::Message> Loads::due(Time now, std::size_t room) {
   if (now - looked_ >= kLeft) {
     looked_ = now;
-    for (auto& [name, w] : near_)  // one may have been lost, and none counts for ever
+    for (auto& [name, w] : near_) {  // one may have been lost, and none counts for ever
       if (w->jobs > 0 && now - w->said >= kKept / 2) {
         for (auto& [listener, told] : w->told)
           told = 0;
         waiting_.insert(name);
       }
+    }
   }
   if (waiting_.empty())
     return {};
@@ -133,14 +140,16 @@
       if (*idle)
         continue;
     }
-    for (const auto& [listener, told] : w.told)
+    for (const auto& [listener, told] : w.told) {
       if (told != w.jobs && !away_.contains(listener))
         out[listener];
+    }
   }
   std::vector<Message> messages;
-  for (auto& [listener, bytes] : out)
+  for (auto& [listener, bytes] : out) {
     while (!(bytes = riding(now, listener, room)).empty())
       messages.push_back({listener, std::move(bytes)});
+  }
   return messages;
 }
 
@@ -150,7 +159,8 @@
     Worker& w = workers_.at(*it);
     if (auto t = w.told.find(listener); t != w.told.end() && t->second != w.jobs) {
       out += entry(*it, w);
-      t->second = w.jobs, w.said = now;
+      t->second = w.jobs;
+      w.said = now;
     }
     it = untold(w) ? std::next(it) : waiting_.erase(it);
   }
@@ -164,20 +174,22 @@
     return;
   }
   away_.erase(listener);
-  for (auto& [name, w] : near_)
+  for (auto& [name, w] : near_) {
     if (auto t = w->told.find(listener); t != w->told.end()) {
       t->second = 0;
       if (untold(*w))
         waiting_.insert(name);
     }
+  }
 }
 
 bool Loads::take(Time now, std::size_t sender, std::string_view message, const Changed& changed) {
   if (message.empty() || message.size() > kLongest || message.size() % kEntry != 0)
     return false;
-  for (std::size_t i = 0; i < message.size(); i += kEntry)
+  for (std::size_t i = 0; i < message.size(); i += kEntry) {
     if (static_cast<unsigned char>(message[i]) >> 4 != kVersion)
       return false;
+  }
   for (std::size_t i = 0; i < message.size(); i += kEntry) {
     auto byte = [&](std::size_t k) {
       return static_cast<unsigned char>(message[i + k]);
@@ -186,7 +198,9 @@
     if (it == workers_.end() || it->second.told.empty())
       continue;  // not on our list (yet, or any more)
     Worker& w = it->second;
-    int before = w.sum(), jobs = byte(0) & 15, &believed = of_one_[sender];
+    int before = w.sum();
+    int jobs = byte(0) & 15;
+    int& believed = of_one_[sender];
     Claim& claim = w.claims[sender];
     believed -= claim.jobs;
     // Guards against a dispatcher that has lost count, or is not one: it cannot make the whole
--- a/src/fleet/loads.h
+++ b/src/fleet/loads.h
@@ -81,9 +81,10 @@
   };
   struct Worker {
     std::string name;
-    int jobs = 0;                         // our own, as far as can be told
-    bool used = false;                    // somebody has had a job there
-    Time changed{}, said{};               // our own jobs, since they were told to all
+    int jobs = 0;       // our own, as far as can be told
+    bool used = false;  // somebody has had a job there
+    Time changed{};
+    Time said{};                          // our own jobs, since they were told to all
     std::map<int, int> told;              // to each listener; empty: not near
     std::map<std::size_t, Claim> claims;  // by sender
     int sum() const;
@@ -93,7 +94,8 @@
   bool untold(const Worker& worker) const;  // to somebody who is there
   bool somebody_idle() const;
 
-  int self_, dispatchers_;
+  int self_;
+  int dispatchers_;
   std::unordered_map<std::uint16_t, Worker> workers_;
   std::map<std::uint16_t, Worker*> near_;  // those of workers_ that we are near to: few of many
   std::set<int> away_;                     // listeners
--- a/src/fleet/seal.cpp
+++ b/src/fleet/seal.cpp
@@ -19,13 +19,15 @@
 void hash(unsigned char* out, const Key& key, const Endpoint& from, const Endpoint& to,
           std::string_view bytes) {
   std::string who;
-  put(who, from), put(who, to);
+  put(who, from);
+  put(who, to);
   crypto_generichash_state state;
   crypto_generichash_init(&state, key.secret.data(), key.secret.size(), kHash);
   auto add = [&](std::string_view b) {
     crypto_generichash_update(&state, reinterpret_cast<const unsigned char*>(b.data()), b.size());
   };
-  add(who), add(bytes);
+  add(who);
+  add(bytes);
   crypto_generichash_final(&state, out, kHash);
 }
 
@@ -57,11 +59,16 @@
 
 std::string Seal::close(Wall now, const Endpoint& to, std::string_view plain) {
   // A clock that was put back must not make a session look older than what was said in it.
-  if (now > session_ + kLongestSession || counter_ == UINT32_MAX)
-    session_ = now, counter_ = 0;
+  if (now > session_ + kLongestSession || counter_ == UINT32_MAX) {
+    session_ = now;
+    counter_ = 0;
+  }
   std::string out;
-  put(out, kSealed, 1), put(out, keys_.front().id, 1), put(out, session_, 6);
-  put(out, now > session_ ? now - session_ : 0, 4), put(out, ++counter_, 4);
+  put(out, kSealed, 1);
+  put(out, keys_.front().id, 1);
+  put(out, session_, 6);
+  put(out, now > session_ ? now - session_ : 0, 4);
+  put(out, ++counter_, 4);
   out += plain;
   unsigned char tag[kHash];
   hash(tag, keys_.front(), self_, to, out);
@@ -81,7 +88,8 @@
   hash(tag, *key, from, self_, bytes.substr(0, body));
   if (sodium_memcmp(tag, bytes.data() + body, kHash) != 0)
     return Fault::Forged;
-  Wall session = get(bytes, 2, 6), at = session + get(bytes, 8, 4);
+  Wall session = get(bytes, 2, 6);
+  Wall at = session + get(bytes, 8, 4);
   if (at + kMostSkew < now || now + kMostSkew < at)
     return Fault::Stale;
   if (seen_.size() >= kManySenders)
--- a/src/fleet/seal.h
+++ b/src/fleet/seal.h
@@ -46,7 +46,8 @@
 
  private:
   struct Seen {
-    Wall session = 0, at = 0;  // at: by the sender's clock, the latest
+    Wall session = 0;
+    Wall at = 0;  // at: by the sender's clock, the latest
     std::uint32_t highest = 0;
     std::uint64_t before = 0;  // bit i: highest - 1 - i has come
   };
--- a/src/fleet/udp_peers.cpp
+++ b/src/fleet/udp_peers.cpp
@@ -45,9 +45,12 @@
 void UdpPeers::begin_view() {
   View::Options view;
   view.self = own();
-  view.incarnation = options_.incarnation, view.known = options_.known;
+  view.incarnation = options_.incarnation;
+  view.known = options_.known;
   view.seed = options_.incarnation ^ (std::uint64_t{view.self.address} << 16 | view.self.port);
-  view.period = options_.period, view.answer_in = options_.answer_in, view.forget = options_.forget;
+  view.period = options_.period;
+  view.answer_in = options_.answer_in;
+  view.forget = options_.forget;
   for (const std::string& seed : options_.seeds)
     view.others.push_back(parse_endpoint(seed).value());
   if (options_.seeds.empty())
@@ -75,15 +78,17 @@
 
 void UdpPeers::changed(const Endpoint& member, State state, std::uint32_t incarnation, bool other) {
   changes_ += other;
-  if (other)
+  if (other) {
     log_.line("fleet", to_text(member) + " is " + to_text(state) + ", incarnation " +
                            std::to_string(incarnation));
+  }
   auto peer = senders_.find(member);
   // While the view is still being made of what an upgrade hands over, there is none to ask. Whoever
   // has another incarnation may have started again, and then knows nothing of what it was told.
-  if (peer != senders_.end() && state != State::Suspect)
+  if (peer != senders_.end() && state != State::Suspect) {
     loads_.hears(static_cast<int>(peer->second),
                  state == State::Alive && !(view_ && view_->damped(clock_.now(), member)));
+  }
 }
 
 void UdpPeers::send(const Endpoint& to, const std::string& bytes) {
@@ -119,10 +124,12 @@
     std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(d));
     return std::string(text);
   };
-  Json::Value all, members(Json::arrayValue);
+  Json::Value all;
+  Json::Value members(Json::arrayValue);
   for (const auto& [who, m] : view_->members()) {
     Json::Value one;
-    one["member"] = to_text(who), one["state"] = to_text(m.state),
+    one["member"] = to_text(who);
+    one["state"] = to_text(m.state);
     one["incarnation"] = m.incarnation;
     one["for_ms"] = static_cast<Json::Int64>((clock_.now() - m.since).count());
     if (m.round_trip >= 0)
@@ -130,8 +137,10 @@
     one["damped"] = view_->damped(clock_.now(), who);
     members.append(one);
   }
-  all["self"] = to_text(view_->self()), all["incarnation"] = view_->incarnation();
-  all["digest"] = digest(view_->digest()), all["members"] = members;
+  all["self"] = to_text(view_->self());
+  all["incarnation"] = view_->incarnation();
+  all["digest"] = digest(view_->digest());
+  all["members"] = members;
   all["sent"] = Json::UInt64{view_->sent()};
   all["dropped"] = Json::Value(Json::objectValue);
   for (const auto& [why, times] : dropped_)
@@ -145,9 +154,12 @@
   if (!view_)
     return std::nullopt;
   operations::Gauges::Fleet f;
-  f.alive = view_->count(State::Alive), f.suspect = view_->count(State::Suspect);
-  f.dead = view_->count(State::Dead), f.left = view_->count(State::Left);
-  f.changes = changes_, f.sent = view_->sent();
+  f.alive = view_->count(State::Alive);
+  f.suspect = view_->count(State::Suspect);
+  f.dead = view_->count(State::Dead);
+  f.left = view_->count(State::Left);
+  f.changes = changes_;
+  f.sent = view_->sent();
   for (const auto& [why, times] : dropped_)
     f.dropped += times;
   return f;
@@ -180,10 +192,11 @@
       seal_ ? kLongest - Seal::kOverhead : kLongest;  // a datagram has 256 bytes with its seal
   for (const Loads::Message& m : loads_.due(clock_.now(), room)) {
     auto to = static_cast<std::size_t>(m.to);
-    if (seal_)
+    if (seal_) {
       send(peers_[to], m.bytes);
-    else
+    } else {
       socket_.send(options_.peers[to], m.bytes);
+    }
   }
   if (!loads_.waits() || late_.order != 0)
     return;
@@ -206,9 +219,10 @@
   if (!who)
     return drop("no address");
   std::string_view plain = bytes;
-  if (seal_)
+  if (seal_) {
     if (auto fault = seal_->open(wall(), *who, bytes, plain); fault != Seal::Fault::None)
       return drop(Seal::to_text(fault));
+  }
   // Without keys anybody may join the view, whose messages bear another first byte than those of
   // loads.
   bool of_view = view_ && !plain.empty() && (plain[0] & 0xf0) == 0x20;
@@ -223,11 +237,13 @@
   loads_.expire(clock_.now(),
                 [this](const std::string& instance, int jobs) { heard(instance, jobs); });
   // One that has stayed for long enough is no longer damped.
-  for (const auto& [who, number] : senders_)
-    if (view_ && loads_.away(static_cast<int>(number)) && !view_->damped(clock_.now(), who))
+  for (const auto& [who, number] : senders_) {
+    if (view_ && loads_.away(static_cast<int>(number)) && !view_->damped(clock_.now(), who)) {
       if (auto m = view_->members().find(who);
           m != view_->members().end() && m->second.state == State::Alive)
         loads_.hears(static_cast<int>(number), true);
+    }
+  }
   tell();
   sweep_ = deadlines_.add(clock_.now() + kSweep, [this] { sweep(); });
 }
--- a/src/fleet/udp_peers.h
+++ b/src/fleet/udp_peers.h
@@ -23,7 +23,9 @@
     bool view = false;               // of the fleet, kept and told; the rest of it counts only then
     std::uint32_t incarnation = 1;
     std::vector<View::Entry> known;  // from the process that had the socket
-    Duration period{1000}, answer_in{300}, forget{3'600'000};
+    Duration period{1000};
+    Duration answer_in{300};
+    Duration forget{3'600'000};
     std::vector<std::string> seeds;  // asked for the others instead of all peers; empty: all peers
     std::string advertise;  // our own address as the others see it; empty: that of the peers
     std::vector<Key> keys;  // empty: nothing is sealed
@@ -79,7 +81,9 @@
   std::uint64_t changes_ = 0;                     // of a state, as told by the view
   bool speaks_ = true;
   transport::Datagrams socket_;
-  transport::Deadlines::Handle sweep_, tick_, late_;  // late: for counts that fell
+  transport::Deadlines::Handle sweep_;
+  transport::Deadlines::Handle tick_;
+  transport::Deadlines::Handle late_;  // late: for counts that fell
 };
 
 }  // namespace oatledge::fleet
--- a/src/fleet/view.cpp
+++ b/src/fleet/view.cpp
@@ -39,7 +39,9 @@
   if (state == State::Dead || state == State::Left)
     return 0;
   std::string bytes;
-  put(bytes, who), put(bytes, static_cast<std::uint64_t>(state), 1), put(bytes, incarnation, 4);
+  put(bytes, who);
+  put(bytes, static_cast<std::uint64_t>(state), 1);
+  put(bytes, incarnation, 4);
   return XXH3_64bits(bytes.data(), bytes.size());
 }
 
@@ -47,7 +49,8 @@
 
 std::optional<Endpoint> parse_endpoint(std::string_view text) {
   Endpoint e;
-  const char *at = text.data(), *end = at + text.size();
+  const char* at = text.data();
+  const char* end = at + text.size();
   for (int part = 0; part < 5; ++part) {
     unsigned value = 0;
     auto [next, error] = std::from_chars(at, end, value);
@@ -104,14 +107,17 @@
   }
   telling_[options_.self] = 0;
   for (const Entry& known :
-       options_.known)  // the dead among them too, which news alone would not bring
-    if (members_.contains(known.who) || known.who == options_.self)
+       options_.known) {  // the dead among them too, which news alone would not bring
+    if (members_.contains(known.who) || known.who == options_.self) {
       hear(now, known);
-    else
+    } else {
       set(now, known.who, known.state, known.incarnation);
+    }
+  }
   // Members that start together do not probe in step.
   std::uniform_real_distribution<double> phase(0, 1);
-  begun_ = now - options_.period * phase(random_), ticked_ = now;
+  begun_ = now - options_.period * phase(random_);
+  ticked_ = now;
 }
 
 std::size_t View::count(State state) const {
@@ -151,9 +157,10 @@
   if (probe_ && !probe_->answered && !probe_->others_asked && now - probe_->sent >= wait) {
     probe_->others_asked = true;
     std::vector<Endpoint> helpers;
-    for (const auto& [who, m] : members_)
+    for (const auto& [who, m] : members_) {
       if (m.state == State::Alive && who != probe_->to)
         helpers.push_back(who);
+    }
     std::ranges::shuffle(helpers, random_);
     helpers.resize(std::min<std::size_t>(helpers.size(), kHelpers));
     say(probe_->to, kProbe, probe_->number, {});  // the first may have been lost
@@ -176,15 +183,17 @@
   if ((!telling_.empty() || differs_) && now - told_ >= options_.period / kNewsEach) {
     told_ = now;
     std::vector<Endpoint> alive;
-    for (const auto& [who, m] : members_)
+    for (const auto& [who, m] : members_) {
       if (m.state == State::Alive)
         alive.push_back(who);
+    }
     // Those that come and go without end are told of by probes alone.
     bool news = std::ranges::any_of(telling_, [&](const auto& t) { return !damped(now, t.first); });
-    if (!alive.empty() && news)
+    if (!alive.empty() && news) {
       say(alive[random_() % alive.size()], kNews, 0, {});
-    else if (!alive.empty() && differs_)
+    } else if (!alive.empty() && differs_) {
       write(alive[random_() % alive.size()], kCompare, 0, {}, {});
+    }
   }
   if (now - begun_ < options_.period)
     return;
@@ -218,11 +227,12 @@
   if (members_.size() < kMostMembers)
     return true;
   auto oldest = members_.end();
-  for (auto it = members_.begin(); it != members_.end(); ++it)
+  for (auto it = members_.begin(); it != members_.end(); ++it) {
     if ((it->second.state == State::Dead || it->second.state == State::Left) &&
         !configured_.contains(it->first) &&
         (oldest == members_.end() || it->second.since < oldest->second.since))
       oldest = it;
+  }
   if (oldest == members_.end())
     return false;
   telling_.erase(oldest->first);
@@ -240,10 +250,11 @@
     return;
   // Where others were heard meanwhile it is not ourselves; Lifeguard asks helpers for a no to tell
   // the same.
-  if (heard_ < last.sent)
+  if (heard_ < last.sent) {
     doubt_ = std::min(kMostDoubt, doubt_ + options_.local_health);
-  else
+  } else {
     begun_ -= options_.period / 2;  // one is gone, and many may be: the next is looked at sooner
+  }
   auto m = members_.find(last.to);
   if (m != members_.end() && m->second.state == State::Alive)
     set(now, last.to, State::Suspect, m->second.incarnation);
@@ -267,11 +278,12 @@
   // well.
   auto doubted = static_cast<std::uint64_t>(
       std::ranges::count_if(suspected_, [](auto& s) { return s.second.own; }));
-  for (const auto& [who, doubt] : suspected_)
+  for (const auto& [who, doubt] : suspected_) {
     if (doubt.own && who != *to && random_() % doubted < kAskedAgain) {
       Entry said = entry_of(who);
       write(who, kProbe, number_, {}, {&said, 1});
     }
+  }
 }
 
 // Everybody once in a round, in an order of this member's own; in between, at a bounded rate, one
@@ -279,9 +291,10 @@
 std::optional<Endpoint> View::next_to_probe() {
   if (number_ % kDeadTurn == kDeadTurn - 1 || count(State::Alive) + count(State::Suspect) == 0) {
     std::vector<Endpoint> dead;
-    for (const auto& [who, m] : members_)
+    for (const auto& [who, m] : members_) {
       if (m.state == State::Dead)
         dead.push_back(who);
+    }
     if (!dead.empty())
       return dead[random_() % dead.size()];
   }
@@ -306,18 +319,23 @@
   Member& m = it->second;
   if (!fresh)
     digest_ ^= hash(who, m.state, m.incarnation);
-  bool other = fresh || m.state != state, rose = incarnation > m.incarnation;
+  bool other = fresh || m.state != state;
+  bool rose = incarnation > m.incarnation;
   if (other)
     m.since = now;
-  if (!fresh && m.state == State::Dead && state == State::Alive)
-    m.flaps = flaps(now, m) + 1, m.flaps_at = now;
-  m.state = state, m.incarnation = incarnation;
+  if (!fresh && m.state == State::Dead && state == State::Alive) {
+    m.flaps = flaps(now, m) + 1;
+    m.flaps_at = now;
+  }
+  m.state = state;
+  m.incarnation = incarnation;
   digest_ ^= hash(who, state, incarnation);
   telling_[who] = 0;
-  if (state == State::Suspect)
+  if (state == State::Suspect) {
     suspected_.try_emplace(who, Doubt{now});
-  else
+  } else {
     suspected_.erase(who);
+  }
   if (other || rose)
     changed_(who, state, incarnation, other);
 }
@@ -326,10 +344,11 @@
 // state. So all that have heard the same hold the same, in whatever order it came.
 void View::hear(Time now, const Entry& news) {
   if (news.who == options_.self) {
-    if (news.state != State::Alive && news.incarnation >= self_.incarnation)
+    if (news.state != State::Alive && news.incarnation >= self_.incarnation) {
       refute(now, news.incarnation);
-    else if (news.incarnation > self_.incarnation)
+    } else if (news.incarnation > self_.incarnation) {
       refute(now, news.incarnation);
+    }
     return;
   }
   auto it = members_.find(news.who);
@@ -349,7 +368,8 @@
 
 void View::refute(Time now, std::uint32_t above) {
   digest_ ^= hash(options_.self, State::Alive, self_.incarnation);
-  self_.incarnation = above + 1, self_.since = now;
+  self_.incarnation = above + 1;
+  self_.since = now;
   digest_ ^= hash(options_.self, State::Alive, self_.incarnation);
   telling_[options_.self] = 0;
 }
@@ -387,8 +407,8 @@
   heard_ = now;
   if (riding > 0 && options_.carried)
     options_.carried(from, bytes.substr(kHead + rest, riding));
-  auto number = static_cast<std::uint32_t>(get(bytes, 2, 4)),
-       incarnation = static_cast<std::uint32_t>(get(bytes, 6, 4));
+  auto number = static_cast<std::uint32_t>(get(bytes, 2, 4));
+  auto incarnation = static_cast<std::uint32_t>(get(bytes, 6, 4));
   std::uint64_t digest = get(bytes, 10, 8);
   Endpoint target = get_endpoint(bytes, 18);
   bool leaves = std::ranges::any_of(
@@ -403,8 +423,10 @@
       m != members_.end() && m->second.state != State::Alive && !leaves)
     telling_[from] = 0;
   // Bounds what a flood can make this one say; the table is told in time all the same.
-  if (compares && differs_ && now - compared_ >= options_.period / kCompareEach)
-    compared_ = now, compare(from, bytes);
+  if (compares && differs_ && now - compared_ >= options_.period / kCompareEach) {
+    compared_ = now;
+    compare(from, bytes);
+  }
   if (kind == kProbe)
     say(from, kAnswer, number, options_.self);
   if (kind == kProbeFor && relays_.size() < kMostRelays) {
@@ -493,14 +515,21 @@
                  std::span<const Entry> entries) {
   std::string out;
   out += static_cast<char>(kVersion);
-  put(out, static_cast<std::uint64_t>(kind), 1), put(out, number, 4),
-      put(out, self_.incarnation, 4);
-  put(out, digest_, 8), put(out, target), put(out, 0, 1);
-  if (kind == kCompare)
+  put(out, static_cast<std::uint64_t>(kind), 1);
+  put(out, number, 4);
+  put(out, self_.incarnation, 4);
+  put(out, digest_, 8);
+  put(out, target);
+  put(out, 0, 1);
+  if (kind == kCompare) {
     for (std::uint64_t part : parts())
       put(out, part, 8);
-  for (const Entry& e : entries)
-    put(out, e.who), put(out, static_cast<std::uint64_t>(e.state), 1), put(out, e.incarnation, 4);
+  }
+  for (const Entry& e : entries) {
+    put(out, e.who);
+    put(out, static_cast<std::uint64_t>(e.state), 1);
+    put(out, e.incarnation, 4);
+  }
   if (options_.riding) {
     std::string more =
         options_.riding(to, std::min<std::size_t>(255, options_.longest - kCheck - out.size()));
@@ -516,13 +545,16 @@
   if (std::exchange(left_, true))
     return;
   std::vector<Endpoint> to;
-  for (const auto& [who, m] : members_)
+  for (const auto& [who, m] : members_) {
     if (m.state == State::Alive)
       to.push_back(who);
+  }
   std::ranges::shuffle(to, random_);
   to.resize(std::min(to.size(), kFarewells));
-  for (const Endpoint& who : to)
-    telling_[options_.self] = 0, say(who, kNews, 0, {});
+  for (const Endpoint& who : to) {
+    telling_[options_.self] = 0;
+    say(who, kNews, 0, {});
+  }
 }
 
 }  // namespace oatledge::fleet
--- a/src/fleet/view.h
+++ b/src/fleet/view.h
@@ -111,10 +111,12 @@
     Endpoint to;
     std::uint32_t number = 0;
     Time sent{};
-    bool answered = false, others_asked = false;
+    bool answered = false;
+    bool others_asked = false;
   };
   struct Relay {  // a probe made for somebody else
-    Endpoint asker, target;
+    Endpoint asker;
+    Endpoint target;
     std::uint32_t number;
     Time sent;
   };
@@ -157,10 +159,17 @@
   std::optional<Probe> probe_;
   std::map<std::uint32_t, Relay> relays_;  // by our own number
   std::uint32_t number_ = 0;
-  std::uint64_t digest_ = 0, sent_ = 0, dropped_ = 0;
-  Time begun_{}, ticked_{}, told_{}, heard_{}, compared_{Duration(-1e12)};
+  std::uint64_t digest_ = 0;
+  std::uint64_t sent_ = 0;
+  std::uint64_t dropped_ = 0;
+  Time begun_{};
+  Time ticked_{};
+  Time told_{};
+  Time heard_{};
+  Time compared_{Duration(-1e12)};
   int doubt_ = 0;  // in ourselves: probes during which nobody was heard, less those answered
-  bool differs_ = false, left_ = false;
+  bool differs_ = false;
+  bool left_ = false;
 };
 
 }  // namespace oatledge::fleet
--- a/src/handover/succession.h
+++ b/src/handover/succession.h
@@ -14,7 +14,8 @@
 constexpr std::uint32_t kVersion = 1;
 
 struct Who {  // which dispatcher a process is
-  std::string name, listen;
+  std::string name;
+  std::string listen;
   bool operator==(const Who&) const = default;
 };
 
--- a/src/http/ask.cpp
+++ b/src/http/ask.cpp
@@ -34,9 +34,10 @@
   char buffer[4096];
   for (;;) {
     if (auto answer = parser.next()) {
-      if (answer->status != 200)
+      if (answer->status != 200) {
         throw std::runtime_error(address + ": " + std::to_string(answer->status) + " " +
                                  answer->body);
+      }
       return answer->body;
     }
     gssize n = g_input_stream_read(in, buffer, sizeof buffer, nullptr, error.out());
--- a/src/http/front_streams.cpp
+++ b/src/http/front_streams.cpp
@@ -44,10 +44,11 @@
     upload_room(at);
   };
   watch_stall(at, t);
-  if (t.reader.done())
+  if (t.reader.done()) {
     t.upload->finish();
-  else
+  } else {
     upload_room(at);
+  }
 }
 
 // The client may send as much as the pipe has room for, and what it sends beyond waits in the
@@ -134,12 +135,13 @@
   Headers headers = std::move(reply.fields);
   // Without a length, one that knows no chunks is told by the close.
   Framing framing = reply.length ? Framing::Length : s.old ? Framing::UntilClose : Framing::Chunked;
-  if (reply.length)
+  if (reply.length) {
     headers.emplace_back("Content-Length", std::to_string(*reply.length));
-  else if (framing == Framing::Chunked)
+  } else if (framing == Framing::Chunked) {
     headers.emplace_back("Transfer-Encoding", "chunked");
-  else
+  } else {
     s.keep_alive = false;
+  }
   s.keep_alive = s.keep_alive && stage_ < Stage::Closing;
   t.reply.emplace(std::move(reply.rest), framing);
   t.reply->pipe()->on_data = [this, at] {
@@ -192,9 +194,10 @@
 
 void HttpFront::cut_streams() {
   std::vector<SlotRef> open;
-  for (auto& [at, s] : sessions_)
+  for (auto& [at, s] : sessions_) {
     if (s.transfer && s.transfer->reply)
       open.push_back(at);
+  }
   for (SlotRef at : open)
     cut_reply(at, "the time to end is over");
 }
--- a/src/http/http_front.cpp
+++ b/src/http/http_front.cpp
@@ -80,7 +80,8 @@
     if (message) {
       on_.deadlines.drop(s.slow);
       leave_orders(s);
-      s.keep_alive = message->keep_alive, s.old = message->old;
+      s.keep_alive = message->keep_alive;
+      s.old = message->old;
       handle(at, std::move(*message));
       continue;
     }
@@ -114,10 +115,11 @@
 void HttpFront::hold(SlotRef at, Session& s, bool held) {
   if (std::exchange(s.held, held) == held)
     return;
-  if (held)
+  if (held) {
     s.held_since = on_.clock.now();
-  else if (!on_.network.unread(at))
+  } else if (!on_.network.unread(at)) {
     s.held_since.reset();  // nothing has waited there
+  }
   on_.network.hold(at, held);
 }
 
@@ -125,12 +127,14 @@
 // here for most of it. Bytes within a few milliseconds count as one arrival, so that single ones
 // cost little.
 void HttpFront::feed(Session& s, std::string_view bytes) {
-  transport::Time now = on_.clock.now(), came = s.held ? now : s.held_since.value_or(now);
+  transport::Time now = on_.clock.now();
+  transport::Time came = s.held ? now : s.held_since.value_or(now);
   s.held_since = s.held ? s.held_since : std::nullopt;
   s.fed += bytes.size();
   if (s.arrivals.empty() || came - s.arrivals.back().first > kOneArrival)
     s.arrivals.push_back({0, came, came});
-  s.arrivals.back().upto = s.fed, s.arrivals.back().last = came;
+  s.arrivals.back().upto = s.fed;
+  s.arrivals.back().last = came;
   s.parser.feed(bytes);
 }
 
@@ -143,24 +147,27 @@
 
 void HttpFront::handle(SlotRef at, Message m) {
   std::string_view path = std::string_view(m.target).substr(0, m.target.find('?'));
-  bool ready = path == "/ready", news = path == "/_jobs/news";
+  bool ready = path == "/ready";
+  bool news = path == "/_jobs/news";
   if (!ready && !news && !protocol::is_command_path(m.target))
     return respond(at, 404, kText, "no such path");
   const char* method = ready ? "GET" : "POST";
   if (m.method != method)
     return respond(at, 405, {{"Allow", method}}, "");
-  if (ready)
+  if (ready) {
     return respond(at, this->ready() ? 200 : 503, kText,
                    this->ready()               ? "ready"
                    : stage_ == Stage::Starting ? "no list yet"
                                                : "draining");
+  }
   if (news)
     return take_news(at, m);
   take_command(at, std::move(m));
 }
 
 void HttpFront::take_command(SlotRef at, Message m) {
-  bool streamed = m.streamed, expects = protocol::same_name(m.header("Expect"), "100-continue");
+  bool streamed = m.streamed;
+  bool expects = protocol::same_name(m.header("Expect"), "100-continue");
   std::string first = streamed ? std::exchange(m.body, {}) : std::string();
   Headers fields = streamed ? protocol::content_fields(m.headers) : Headers();
   protocol::ClientCommand command;
@@ -171,8 +178,10 @@
   }
   auto waited = on_.clock.now() - arrived(sessions_.at(at));
   command.request.patience = std::max(stagehinge::Duration(0), command.request.patience - waited);
-  if (streamed)
-    command.fields = std::move(fields), stretch_patience(command.request);
+  if (streamed) {
+    command.fields = std::move(fields);
+    stretch_patience(command.request);
+  }
   stagehinge::Request request = command.request;
   if (stage_ == Stage::Ending) {
     router_->count_nack(request.job_class);
@@ -234,10 +243,14 @@
 
 void HttpFront::hear(protocol::News n) {
   routing::Progress p;
-  p.id = n.id, p.instance = std::move(n.from), p.report = n.report, p.result = std::move(n.result);
+  p.id = n.id;
+  p.instance = std::move(n.from);
+  p.report = n.report;
+  p.result = std::move(n.result);
   using What = protocol::News::What;
   using stagehinge::Outcome;
-  p.started = n.what == What::Started, p.progress = n.what == What::Progress;
+  p.started = n.what == What::Started;
+  p.progress = n.what == What::Progress;
   p.outcome = n.what == What::Done       ? Outcome::Success
               : n.what == What::Returned ? Outcome::Overloaded
               : n.what == What::Lost     ? Outcome::Broken
@@ -255,8 +268,10 @@
   auto it = sessions_.find(at);
   if (it == sessions_.end())
     return;
-  if (it->second.transfer)
-    leave_upload(at, it->second), drop_transfer(at, it->second);
+  if (it->second.transfer) {
+    leave_upload(at, it->second);
+    drop_transfer(at, it->second);
+  }
   bool keep = keeps(at, it->second);
   on_.network.send(at, protocol::write_response(status, headers, body, keep));
   if (keep)
@@ -345,7 +360,8 @@
 }
 
 void HttpFront::leave_orders(Session& s) {
-  fresh_.erase(s.place), idle_.erase(s.place);
+  fresh_.erase(s.place);
+  idle_.erase(s.place);
   s.place = 0;
 }
 
@@ -416,7 +432,10 @@
 
 void HttpFront::adopt_ward(SlotRef at, const Parting& as, std::function<void()> left) {
   Session& s = begin(at);
-  s.keep_alive = as.keep_alive, s.old = as.old, s.asks = true, s.left = std::move(left);
+  s.keep_alive = as.keep_alive;
+  s.old = as.old;
+  s.asks = true;
+  s.left = std::move(left);
   feed(s, as.unread);
 }
 
@@ -424,16 +443,18 @@
   auto it = sessions_.find(at);
   if (it == sessions_.end())
     return;
-  it->second.asks = false, it->second.left = nullptr;
+  it->second.asks = false;
+  it->second.left = nullptr;
   respond(at, status, {}, body);
   work(at);
 }
 
 void HttpFront::adopt(SlotRef at, std::string_view unread, bool used) {
-  if (used)
+  if (used) {
     begin(at);
-  else
+  } else {
     on_accepted(at);
+  }
   on_bytes(at, unread);
 }
 
@@ -444,9 +465,12 @@
 }
 
 void HttpFront::finish_all(Order from) {  // a copy: each leaves its order
-  for (auto [place, at] : from)
-    if (sessions_.at(at).parser.idle() && !on_.network.unread(at))
-      forget(at), on_.network.finish(at);
+  for (auto [place, at] : from) {
+    if (sessions_.at(at).parser.idle() && !on_.network.unread(at)) {
+      forget(at);
+      on_.network.finish(at);
+    }
+  }
 }
 
 }  // namespace oatledge::http
--- a/src/http/http_front.h
+++ b/src/http/http_front.h
@@ -44,7 +44,8 @@
   struct Parting {
     transport::Descriptor connection;
     std::string unread;
-    bool keep_alive = true, old = false;
+    bool keep_alive = true;
+    bool old = false;
   };
   std::optional<Parting> part_with(routing::CommandRef command);
   void adopt(transport::SlotRef connection, std::string_view unread,
@@ -78,28 +79,34 @@
   struct Transfer {                           // of bodies that pass through
     std::shared_ptr<streaming::Pipe> upload;  // until the answer
     protocol::BodyReader reader;              // of the upload
-    bool expects = false, ended = false;      // waits for "100 Continue"; the reply's end is sent
+    bool expects = false;
+    bool ended = false;  // waits for "100 Continue"; the reply's end is sent
     std::optional<Outflow> reply;
-    Progress uploads, replies;
+    Progress uploads;
+    Progress replies;
     transport::Deadlines::Handle stall;
   };
   struct Arrival {
     std::uint64_t upto = 0;
-    transport::Time first{}, last{};
+    transport::Time first{};
+    transport::Time last{};
   };
   struct Session {
     protocol::Parser parser{protocol::Parser::Kind::Request};
     std::optional<routing::CommandRef>
         command;  // one at a time; what follows it waits in the parser
     std::unique_ptr<Transfer> transfer;
-    bool keep_alive = true, held = false, old = false;  // old: HTTP/1.0
+    bool keep_alive = true;
+    bool held = false;
+    bool old = false;                           // old: HTTP/1.0
     bool asks = false;                          // waits for the other process, or for a ward's end
     std::uint64_t fed = 0;                      // bytes given to the parser, ever...
     std::deque<Arrival> arrivals;               // ...and when those came that it has not used yet
     std::optional<transport::Time> held_since;  // what is read next has waited in the network
     std::function<void()> left;                 // of a ward
     std::uint64_t place = 0;                    // in fresh_ or idle_; 0: in neither
-    transport::Deadlines::Handle slow,
+    transport::Deadlines::Handle slow;
+    transport::Deadlines::Handle
         more;  // a message that does not come whole; one that waits its turn
   };
   using Order = std::map<std::uint64_t, transport::SlotRef>;  // longest there first
--- a/src/http/http_instances.cpp
+++ b/src/http/http_instances.cpp
@@ -23,9 +23,10 @@
 }  // namespace
 
 void HttpInstances::update(const protocol::NameList& list) {
-  if (list.whole)
+  if (list.whole) {
     for (auto& [uid, i] : instances_)
       i.gone = true;
+  }
   for (const protocol::Listed& l : list.entries) {
     Instance& i = instances_[l.uid];
     i.gone = l.entry.readiness == stagehinge::Readiness::Gone;
@@ -41,8 +42,10 @@
     i.online_since = l.entry.online_since;
   }
   for (auto it = instances_.begin(); it != instances_.end();) {
-    if (it->second.gone)
-      it->second.closed = true, close_pool(it->second);
+    if (it->second.gone) {
+      it->second.closed = true;
+      close_pool(it->second);
+    }
     it = it->second.gone && it->second.attempts == 0 ? instances_.erase(it) : std::next(it);
   }
 }
@@ -51,9 +54,10 @@
 // and what goes out with it then is a send of that moment.
 void HttpInstances::recall() {
   std::vector<AttemptRef> late;
-  for (const auto& [at, c] : calls_)
+  for (const auto& [at, c] : calls_) {
     if (c.attempt && c.cargo && instances_.at(c.instance).closed)
       late.push_back(*c.attempt);
+  }
   for (auto& [uid, i] : instances_)
     i.closed = false;
   for (AttemptRef attempt : late) {
@@ -76,8 +80,12 @@
   ++it->second.attempts;
   active_[attempt] = {instance, http.command.id, std::nullopt};
   Call c;
-  c.kind = Kind::Submit, c.instance = instance, c.attempt = attempt;
-  c.reply = cargo->reply, c.cargo = cargo, c.ends = ends;
+  c.kind = Kind::Submit;
+  c.instance = instance;
+  c.attempt = attempt;
+  c.reply = cargo->reply;
+  c.cargo = cargo;
+  c.ends = ends;
   if (streaming_)
     c.parser.stream(is_reply, streaming_->most_body);
   if (cargo->upload)
@@ -94,7 +102,8 @@
 void HttpInstances::probe(const std::string& instance) {
   auto it = instances_.find(instance);
   Call c;
-  c.kind = Kind::Probe, c.instance = instance;
+  c.kind = Kind::Probe;
+  c.instance = instance;
   if (it == instances_.end() ||
       !call(std::move(c), protocol::write_probe(times_.reports, it->second.address)))
     router_->probe_ended(instance, Outcome::Unreachable, {});
@@ -133,10 +142,11 @@
 void HttpInstances::hang_up(SlotRef at) {
   bool streams = calls_.at(at).stream != nullptr;
   drop_call(at);
-  if (streams)
+  if (streams) {
     on_.network.reset(at);
-  else
+  } else {
     on_.network.close(at);
+  }
 }
 
 // Until it is written the attempt is still there, and nothing else of the command may go to that
@@ -147,16 +157,19 @@
     return;
   it->second.again = {};
   Call c;
-  c.kind = Kind::Withdraw, c.instance = it->second.instance, c.gives_up = attempt;
+  c.kind = Kind::Withdraw;
+  c.instance = it->second.instance;
+  c.gives_up = attempt;
   const std::string& address = instances_.at(it->second.instance).address;
   if (!call(std::move(c), protocol::write_withdraw(it->second.id, address)))
     tell_again(attempt);
 }
 
 void HttpInstances::tell_again(AttemptRef attempt) {
-  if (auto it = active_.find(attempt); it != active_.end())
+  if (auto it = active_.find(attempt); it != active_.end()) {
     it->second.again = on_.deadlines.add(on_.clock.now() + times_.probe,
                                          [this, attempt] { tell_withdrawn(attempt); });
+  }
 }
 
 void HttpInstances::given_up(Call& c) {
@@ -172,7 +185,8 @@
   if (it == instances_.end())
     return;
   Call c;
-  c.kind = Kind::Withdraw, c.instance = instance;
+  c.kind = Kind::Withdraw;
+  c.instance = instance;
   call(std::move(c), protocol::write_withdraw(id, it->second.address));
 }
 
@@ -246,9 +260,10 @@
     take_from_pool(*at);
   }
   // An attempt waits as long as the module lets it; the other calls are ours to end.
-  if (c.kind != Kind::Submit)
+  if (c.kind != Kind::Submit) {
     c.answer = on_.deadlines.add(on_.clock.now() + times_.probe,
                                  [this, r = *at] { end(r, Outcome::TimedOut); });
+  }
   if (c.attempt)
     active_.at(*c.attempt).connection = at;
   if (!fresh)
@@ -270,8 +285,10 @@
   std::string bytes = c.stream
                           ? protocol::write_submit_head(cargo.command, address, left, cargo.length)
                           : protocol::write_submit(cargo.command, address, left);
-  if (!c.stream)
-    c.last = bytes.back(), bytes.pop_back();
+  if (!c.stream) {
+    c.last = bytes.back();
+    bytes.pop_back();
+  }
   c.cargo.reset();
   on_.network.send(at, std::move(bytes));
 }
@@ -310,8 +327,10 @@
     return;
   if (c.kind == Kind::Withdraw)
     return given_up(c);
-  if (c.kind == Kind::Submit && !c.relayed && begun(c))
-    c.relayed = true, ++on_.figures.relayed;
+  if (c.kind == Kind::Submit && !c.relayed && begun(c)) {
+    c.relayed = true;
+    ++on_.figures.relayed;
+  }
 }
 
 void HttpInstances::on_bytes(SlotRef at, std::string_view bytes) {
@@ -345,7 +364,8 @@
   // And one that a last byte is still held back from has not begun, whatever it says.
   bool never = !calls_.at(at).last.empty();
   if (!whole && m.status == 202 && calls_.at(at).attempt) {
-    calls_.at(at).taken = true, calls_.at(at).keep = m.keep_alive;
+    calls_.at(at).taken = true;
+    calls_.at(at).keep = m.keep_alive;
     return pump_upload(at);
   }
   Call c = std::move(calls_.at(at));
@@ -370,8 +390,10 @@
   }
   release(*c.attempt);
   routing::Reply reply;
-  if (answer.end == Outcome::Success)
-    reply.fields = protocol::content_fields(m.headers), reply.body = m.body;
+  if (answer.end == Outcome::Success) {
+    reply.fields = protocol::content_fields(m.headers);
+    reply.body = m.body;
+  }
   router_->attempt_ended(*c.attempt, *answer.end, answer.report, std::move(reply));
 }
 
@@ -396,7 +418,9 @@
       !again.empty() && instances_.contains(c.instance)) {
     close_pool(instances_.at(c.instance));
     Call once_more;
-    once_more.kind = c.kind, once_more.instance = c.instance, once_more.gives_up = c.gives_up;
+    once_more.kind = c.kind;
+    once_more.instance = c.instance;
+    once_more.gives_up = c.gives_up;
     if (call(std::move(once_more), std::move(again)))
       return;
     return report_end(c, Outcome::Unreachable, {});
@@ -414,10 +438,11 @@
   bool streams = c.stream != nullptr;
   drop_stream(c);
   drop_call(at);
-  if (streams)
+  if (streams) {
     on_.network.reset(at);
-  else
+  } else {
     on_.network.close(at);
+  }
   // Guards jobs that must not run twice: a machine that says nothing may have vanished, and what is
   // written to its open connections is lost without a proof. A new connection to it fails, and that
   // is one.
--- a/src/http/http_instances.h
+++ b/src/http/http_instances.h
@@ -52,18 +52,22 @@
   struct Instance {
     std::string address;
     std::optional<stagehinge::Time> online_since;
-    bool gone = false, closed = false;  // closed: to what is on its way there, by the latest list
-    std::size_t attempts = 0;           // active ones: they may still have to be withdrawn there
-    std::vector<Idle> idle;             // the latest used last
+    bool gone = false;
+    bool closed = false;       // closed: to what is on its way there, by the latest list
+    std::size_t attempts = 0;  // active ones: they may still have to be withdrawn there
+    std::vector<Idle> idle;    // the latest used last
   };
   enum class Kind { Submit, Withdraw, Probe };
   struct Stream {                   // of bodies that pass through
     std::optional<Outflow> upload;  // until all of it has gone out
     std::optional<std::uint64_t> length;
-    bool up = false, committed = false, sent = false;  // sent: with its last byte
-    std::shared_ptr<streaming::Pipe> reply;            // once its head has come
-    protocol::BodyReader reader;                       // of the reply
-    Progress uploads, replies;
+    bool up = false;
+    bool committed = false;
+    bool sent = false;                       // sent: with its last byte
+    std::shared_ptr<streaming::Pipe> reply;  // once its head has come
+    protocol::BodyReader reader;             // of the reply
+    Progress uploads;
+    Progress replies;
     transport::Deadlines::Handle stall;
   };
   struct Call {
@@ -80,11 +84,15 @@
     std::unique_ptr<Stream> stream;
     std::shared_ptr<streaming::Pipe> reply;  // for one that passes through
     bool relayed = false;                    // written whole, and counted
-    bool taken = false, keep = false;  // answered 202 before its upload was whole; to be kept then
-    transport::Deadlines::Handle connect, commit, answer;
+    bool taken = false;
+    bool keep = false;  // answered 202 before its upload was whole; to be kept then
+    transport::Deadlines::Handle connect;
+    transport::Deadlines::Handle commit;
+    transport::Deadlines::Handle answer;
   };
   struct Active {  // an attempt that has not ended
-    std::string instance, id;
+    std::string instance;
+    std::string id;
     std::optional<transport::SlotRef> connection;  // until the instance has taken it
     bool withdrawn = false;  // it has, and is to be told that nobody waits any more
     transport::Deadlines::Handle again =
--- a/src/http/http_names.cpp
+++ b/src/http/http_names.cpp
@@ -69,9 +69,10 @@
     return;
   parser_.feed(bytes);
   try {
-    while (auto message = parser_.next())
+    while (auto message = parser_.next()) {
       if (message->status / 100 != 1)
         return answered(*message);
+    }
   } catch (const protocol::HttpError& e) {
     fail(std::string("malformed answer: ") + e.what());
   }
--- a/src/http/instance_streams.cpp
+++ b/src/http/instance_streams.cpp
@@ -83,8 +83,10 @@
   std::optional<AttemptRef> attempt = std::exchange(c.attempt, std::nullopt);
   std::shared_ptr<streaming::Pipe> pipe = attempt ? c.reply : nullptr;
   if (!pipe || pipe->abandoned()) {
-    if (attempt)
-      release(*attempt), router_->attempt_ended(*attempt, Outcome::Withdrawn, {});
+    if (attempt) {
+      release(*attempt);
+      router_->attempt_ended(*attempt, Outcome::Withdrawn, {});
+    }
     drop_call(at);
     return on_.network.reset(at);
   }
@@ -96,8 +98,11 @@
   // It answers before it had everything: the rest is not sent any more, and this connection ends
   // with it.
   c.keep = m.keep_alive && (!s.upload || s.sent) && c.last.empty();
-  if (s.upload)
-    s.upload->pipe()->on_data = nullptr, s.upload->pipe()->abandon(), s.upload.reset();
+  if (s.upload) {
+    s.upload->pipe()->on_data = nullptr;
+    s.upload->pipe()->abandon();
+    s.upload.reset();
+  }
   on_.deadlines.drop(c.connect);
   on_.deadlines.drop(c.commit);
   on_.deadlines.drop(c.answer);
--- a/src/http/streams.h
+++ b/src/http/streams.h
@@ -60,10 +60,12 @@
   const std::shared_ptr<streaming::Pipe>& pipe() const { return pipe_; }
 
  private:
-  static constexpr std::size_t kAhead = 64 << 10, kShare = 64 << 10;
+  static constexpr std::size_t kAhead = 64 << 10;
+  static constexpr std::size_t kShare = 64 << 10;
   // Framing counts as body here, so that never more is told as written than is.
   void note_written(transport::Network& network, transport::SlotRef at) {
-    std::uint64_t unsent = network.unsent(at), taken = pipe_->taken();
+    std::uint64_t unsent = network.unsent(at);
+    std::uint64_t taken = pipe_->taken();
     pipe_->written(taken - std::min(taken, unsent));
   }
 
--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -112,7 +112,8 @@
   // What has been learned stays, as classes and tenants keep their numbers.
   void retune(const Settings& settings) {
     validate(settings);
-    set_ = settings, all_quotas_ = 0;
+    set_ = settings;
+    all_quotas_ = 0;
     tenants_.resize(set_.tenant_quotas.size());
     for (std::size_t i = 0; i < tenants_.size(); ++i)
       all_quotas_ += tenants_[i].quota = set_.tenant_quotas[i];
@@ -126,9 +127,10 @@
     list_answered(kind, entries.empty());
     if (kind == ListKind::Error)
       return;
-    if (kind != ListKind::Partial)
+    if (kind != ListKind::Partial) {
       for (auto& [id, w] : workers_)
         w.listed = false;
+    }
     for (const WorkerEntry& e : entries)
       enter(e);
     for (auto it = workers_.begin(); it != workers_.end();) {
@@ -138,9 +140,10 @@
       it = forget && !named(&it->second) ? workers_.erase(it) : std::next(it);
     }
     cut_pools();
-    if (set_.may_probe && kind == ListKind::Persisted && !draws())
+    if (set_.may_probe && kind == ListKind::Persisted && !draws()) {
       for (Worker* w : ready_)
         probe(*w);
+    }
     place_held();
   }
 
@@ -148,16 +151,27 @@
     auto [it, fresh] = workers_.try_emplace(std::string(e.worker));
     Worker& w = it->second;
     bool restarted = e.online_since && e.online_since != w.online_since;
-    if (fresh)
-      w.id = it->first, w.hash = hash_id(w.id);
-    if (restarted && !fresh)  // a clean record, but our attempts there are still ours to see end
-      w.doubt = 0, w.others = 0, w.speed_work = w.speed_time = 0, w.trial_gap = kTrialGap,
+    if (fresh) {
+      w.id = it->first;
+      w.hash = hash_id(w.id);
+    }
+    if (restarted && !fresh) {  // a clean record, but our attempts there are still ours to see end
+      w.doubt = 0;
+      w.others = 0;
+      w.speed_work = w.speed_time = 0;
+      w.trial_gap = kTrialGap;
       w.shunned.clear();
-    if (restarted)
-      w.cold_since = *e.online_since, w.online_since = e.online_since;
-    w.zone = e.zone, w.kind = e.kind, w.cell = e.cell;
+    }
+    if (restarted) {
+      w.cold_since = *e.online_since;
+      w.online_since = e.online_since;
+    }
+    w.zone = e.zone;
+    w.kind = e.kind;
+    w.cell = e.cell;
     w.size = std::isfinite(e.size) && e.size > 0 ? e.size : 1;
-    w.listed = e.readiness != Readiness::Gone, w.ready = e.readiness == Readiness::Ready;
+    w.listed = e.readiness != Readiness::Gone;
+    w.ready = e.readiness == Readiness::Ready;
   }
 
   bool named(const Worker* w) const {  // does an open job still remember an attempt there?
@@ -172,13 +186,15 @@
   // coming or going moves few.
   void cut_pools() {
     ready_.clear();
-    for (auto& [id, w] : workers_)
+    for (auto& [id, w] : workers_) {
       if (w.ready)
         ready_.push_back(&w);
+    }
     std::sort(ready_.begin(), ready_.end(), [](const Worker* a, const Worker* b) {
       return std::tie(a->zone, a->hash, a->id) < std::tie(b->zone, b->hash, b->id);
     });
-    double in_short = 0, before = 0;
+    double in_short = 0;
+    double before = 0;
     for (std::size_t i = 0; i < ready_.size();) {
       double zone_size = 0;
       std::size_t end = i;
@@ -198,29 +214,41 @@
   // Listed sizes have no unit: scale them so that they agree with the speeds seen, 1 on average
   // before any.
   void calibrate() {
-    double seen = 0, seen_size = 0, all = 0, slots = 0, speeds = 0;
+    double seen = 0;
+    double seen_size = 0;
+    double all = 0;
+    double slots = 0;
+    double speeds = 0;
     for (Worker* w : ready_) {
-      all += w->size, slots += w->slots;
-      if (w->speed_time > 0)
-        seen += w->speed_work / w->speed_time * w->slots, seen_size += w->size;
+      all += w->size;
+      slots += w->slots;
+      if (w->speed_time > 0) {
+        seen += w->speed_work / w->speed_time * w->slots;
+        seen_size += w->size;
+      }
     }
     double scale = seen_size > 0 ? seen / seen_size : all > 0 ? slots / all : 1;
     for (Worker* w : ready_) {
-      double prior = std::max(0.01, scale * w->size / w->slots), weight = 2 * mean_work_;
+      double prior = std::max(0.01, scale * w->size / w->slots);
+      double weight = 2 * mean_work_;
       w->speed = (w->speed_work + weight * prior) / (w->speed_time + weight);
       speeds += w->speed;
     }
     if (!ready_.empty())
       mean_speed_ = speeds / static_cast<double>(ready_.size());
-    for (auto& side : pools_)
-      for (Pool& pool : side)
-        pool.workers.clear(), pool.upto.clear();
+    for (auto& side : pools_) {
+      for (Pool& pool : side) {
+        pool.workers.clear();
+        pool.upto.clear();
+      }
+    }
     for (Worker* w : ready_) {
       Pool& pool = pools_[w->zone != set_.zone][w->short_pool];
       double before = pool.upto.empty() ? 0 : pool.upto.back();
       // A cold worker is left to the holders of its budget, who look at it each time.
       double weight = warmth(*w) < 1 ? 0 : w->slots * w->speed;
-      pool.workers.push_back(w), pool.upto.push_back(before + weight);
+      pool.workers.push_back(w);
+      pool.upto.push_back(before + weight);
     }
   }
 
@@ -237,16 +265,18 @@
   void list_answered(ListKind kind, bool none) {
     if (!set_.must_subscribe)
       return;
-    Duration turn = kAskTurn * set_.balancers, least = std::clamp(turn, kAskPause / 3, kAskPause);
+    Duration turn = kAskTurn * set_.balancers;
+    Duration least = std::clamp(turn, kAskPause / 3, kAskPause);
     std::uniform_real_distribution<double> jitter(0.5, 1.0);
     bool starts = kind == ListKind::Persisted;
     subscribed_ = !starts && kind != ListKind::Error;
-    if (starts && (none || turn < least))
+    if (starts && (none || turn < least)) {
       subscribe();
-    else if (starts)
+    } else if (starts) {
       arm(now_ + turn * 2 * (jitter(random_) - 0.5), DueKind::Subscribe, ++ask_);
-    else if (!subscribed_)
+    } else if (!subscribed_) {
       arm(now_ + ask_backoff_ * jitter(random_), DueKind::Subscribe, ++ask_);
+    }
     ask_backoff_ = subscribed_ || starts ? least : std::min(2 * ask_backoff_, kAskPause);
   }
 
@@ -259,13 +289,15 @@
     calibrate();
     if (!set_.may_probe || !(set_.tells_start || draws()))
       usual_load_ /= 2;  // no job begun, no report
-    double capacity = 0.01, busy = 0,
-           slots = 0.01;  // a worker never heard of says nothing of the load
+    double capacity = 0.01;
+    double busy = 0;
+    double slots = 0.01;  // a worker never heard of says nothing of the load
     for (Worker* w : ready_) {
       capacity += w->slots * w->speed * warmth(*w);
       if (draws() && w->others_at == Time{})
         continue;
-      slots += w->slots, busy += std::min(w->slots, draws() ? w->others : others(*w));
+      slots += w->slots;
+      busy += std::min(w->slots, draws() ? w->others : others(*w));
     }
     double own = hints_.work_rate(now_) / capacity;
     bool seen = set_.tells_start || set_.reports != ReportMode::Off;
@@ -279,25 +311,30 @@
   // ---- A job arrives ----
 
   void request(const Request& r) {
-    if (set_.extra_window)
-      trim_ledger(), taken_.push_back(now_);
+    if (set_.extra_window) {
+      trim_ledger();
+      taken_.push_back(now_);
+    }
     if (r.job_class >= set_.classes.size() || jobs_.contains(r.id))
       return;
     Job& job = jobs_[r.id];
-    job.request = r,
+    job.request = r;
     job.lot = r.hint && ms(*r.hint) > 0 ? 0 : std::generate_canonical<double, 53>(random_);
-    job.cls = set_.classes[r.job_class], job.most = set_.max_attempts;
+    job.cls = set_.classes[r.job_class];
+    job.most = set_.max_attempts;
     job.request.slots = std::isfinite(r.slots) ? std::clamp(r.slots, 1.0, 1e6) : 1;
     job.request.memory = std::isfinite(r.memory) ? std::clamp(r.memory, 0.0, 1e6) : 0;
     bool hinted = r.hint && ms(*r.hint) > 0 && ms(*r.hint) <= kSaneWorkMs;  // also false for NaN
     auto& stats = class_stats_.try_emplace(r.job_class).first->second;
     if (hinted)
       stats.learn(ms(*r.hint));
-    job.hint = hinted ? ms(*r.hint) : 0,
+    job.hint = hinted ? ms(*r.hint) : 0;
     job.work = hinted ? stats.hints.expected(job.hint) : stats.mean_work;
-    mean_work_ += 0.05 * (job.load() - mean_work_),
-        mean_worth_ += 0.05 * (worth(job) - mean_worth_);
-    hints_.add(now_, job.load()), asked_.fade(now_, kTraffic), asked_.count += 1;
+    mean_work_ += 0.05 * (job.load() - mean_work_);
+    mean_worth_ += 0.05 * (worth(job) - mean_worth_);
+    hints_.add(now_, job.load());
+    asked_.fade(now_, kTraffic);
+    asked_.count += 1;
     // A client's repeat comes with less patience than a first try; the difference is the time
     // already lost.
     stats.patience = std::max(stats.patience, r.patience);
@@ -309,14 +346,18 @@
     // a hurry: it goes where it keeps nobody waiting. May hurt when repeats of a long overload find
     // free slots.
     if (job.limit < now_ + Duration(job.work / mean_speed_) && lost > Duration(0) &&
-        job.cls.late_worth <= 0)
-      job.limit = std::min(now_ + wanted, job.ends), job.late = true;
+        job.cls.late_worth <= 0) {
+      job.limit = std::min(now_ + wanted, job.ends);
+      job.late = true;
+    }
     // EXCEPTION share: a job beyond its tenant's share is worth little and goes where it keeps
     // nobody waiting and a slot stays free beside it, after all others that are held. May hurt
     // where one tenant's clients move to another dispatcher: there its share is not known yet.
     job.over = beyond_share(job);
-    if (job.over)
-      job.limit = job.ends, job.late = true;
+    if (job.over) {
+      job.limit = job.ends;
+      job.late = true;
+    }
     arm(job.ends, DueKind::Answer, r.id);
     update_cutoff();
     if (job.ends <= now_)
@@ -344,12 +385,15 @@
     double even = all_quotas_ / set_.balancers;
     double part = (traffic_ + kTrafficGuess * even) / (traffic_span_ + kTrafficGuess) / all_quotas_;
     Tenant& t = tenants_[tenant];
-    recent_.fade(now_, kMoved), t.recent.fade(now_, kMoved);
+    recent_.fade(now_, kMoved);
+    t.recent.fade(now_, kMoved);
     double others = (recent_.count - t.recent.count) / (kMoved / Duration(seconds(1)));
-    recent_.count += 1, t.recent.count += 1;
+    recent_.count += 1;
+    t.recent.count += 1;
     if (t.quota < all_quotas_)
       part = std::max(part, others / (all_quotas_ - t.quota));
-    double rate = t.quota * part, most = std::max(2.0, kShareBurst * rate);
+    double rate = t.quota * part;
+    double most = std::max(2.0, kShareBurst * rate);
     t.left = t.at == Time{}
                  ? most
                  : std::min(most, t.left + rate * ((now_ - t.at) / Duration(seconds(1))));
@@ -420,9 +464,10 @@
     auto shun = w.shunned.find(job.request.job_class);
     if (now_ < w.full_until || (shun != w.shunned.end() && now_ < shun->second.until))
       return false;
-    if (d >= kDown)
+    if (d >= kDown) {
       return !set_.may_probe && now_ >= w.trial_at && w.out.empty() &&
              job.cls.effect != Effect::Unsafe;
+    }
     return d < kDoubtful || job.cls.effect != Effect::Unsafe;
   }
 
@@ -447,7 +492,8 @@
   double cold_share(const Worker& w) const {
     double holders = std::min(kColdHolders, 1.0 * set_.balancers);
     double since_start = ms(now_ - (w.online_since == w.cold_since ? *w.cold_since : Time{}));
-    double span = ms(set_.fall_span), turn = std::floor(since_start / (kColdTurn * span));
+    double span = ms(set_.fall_span);
+    double turn = std::floor(since_start / (kColdTurn * span));
     bool waits =
         turn > 0 && holders < set_.balancers && since_start - turn * kColdTurn * span <= span;
     auto first = static_cast<std::uint64_t>(w.hash + 7919 * turn) % set_.balancers;
@@ -498,10 +544,12 @@
 
   // How long until a job of ours would start there, the queue being served in order.
   Duration start_delay(const Worker& w, const Job& job) {
-    double taken = w.own_slots + others(w), need = job.request.slots;
+    double taken = w.own_slots + others(w);
+    double need = job.request.slots;
     if (taken + need <= w.slots + 0.5 && w.own_memory + job.request.memory <= w.slots)
       return Duration(0);
-    double queued = 0, speed = likely_speed(w);
+    double queued = 0;
+    double speed = likely_speed(w);
     releases_.clear();
     for (const Outstanding& o : w.out) {
       if (!o.started && set_.tells_start) {
@@ -511,14 +559,18 @@
       double ran = ms(now_ - o.started.value_or(o.sent));
       releases_.emplace_back(std::max(o.work / speed - ran, 0.25 * ran), o.slots);
     }
-    double theirs = others(w), running = std::min(theirs, std::max(0.0, w.slots - w.started_slots));
+    double theirs = others(w);
+    double running = std::min(theirs, std::max(0.0, w.slots - w.started_slots));
     queued += (theirs - running) * mean_work_ / speed;
     if (running >= 0.5)
       releases_.emplace_back(0.5 * mean_work_ / speed, running);
     std::sort(releases_.begin(), releases_.end());
-    double free = w.slots - running - w.started_slots, wait = 0;
-    for (std::size_t i = 0; i < releases_.size() && free + 0.5 < need; ++i)
-      wait = releases_[i].first, free += releases_[i].second;
+    double free = w.slots - running - w.started_slots;
+    double wait = 0;
+    for (std::size_t i = 0; i < releases_.size() && free + 0.5 < need; ++i) {
+      wait = releases_[i].first;
+      free += releases_[i].second;
+    }
     return Duration(wait + queued / w.slots);
   }
 
@@ -529,7 +581,8 @@
   // job out of a queue. EXCEPTION zones: to another zone when that saves more of its slack than the
   // crossing costs of its worth. Nothing: hold it.
   Worker* choose(const Job& job) {
-    Choice home = best_of(job, false), away;
+    Choice home = best_of(job, false);
+    Choice away;
     double price = cross_price(job);
     if (home.worker && home.delay_share <= price)
       return home.worker;
@@ -549,7 +602,8 @@
       look(job, pools_[cross][pool], [&](Worker& w) {
         if (!eligible(w, job) || (w.zone != set_.zone) != cross || w.short_pool != pool)
           return;
-        Duration delay = start_delay(w, job), slack = job.limit - now_ - run_time(w, job);
+        Duration delay = start_delay(w, job);
+        Duration slack = job.limit - now_ - run_time(w, job);
         if (slack < Duration(0) || (job.over && !has_room(w, job, -0.5)))
           return;  // for the next, worth more
         double share = delay / std::max(slack, Duration(1e-3));
@@ -596,9 +650,10 @@
 
   template <class Visit>
   void draw(const Pool& pool, std::size_t times, Visit visit) {
-    for (Worker* w : pool.workers)
+    for (Worker* w : pool.workers) {
       if (warmth(*w) < 1 && cold_share(*w) > 0)
         visit(*w);
+    }
     if (pool.workers.empty() || pool.upto.back() <= 0)
       return;
     std::uniform_real_distribution<double> point(0, pool.upto.back());
@@ -639,7 +694,8 @@
           continue;
         }
         probe(w);
-        w.askers.push_back(job.request.id), ++job.awaited;
+        w.askers.push_back(job.request.id);
+        ++job.awaited;
       }
       if (job.awaited > 0)
         return arm(now_ + kAskTime + 5 * set_.tick, DueKind::Ask, job.request.id), true;
@@ -655,10 +711,11 @@
       double work = w.own_work + *w.peers * mean_work_;
       return std::pair(w.short_pool != is_short(job), work / (w.slots * likely_speed(w)));
     };
-    for (Worker* w : ready_)
+    for (Worker* w : ready_) {
       if (told(*w) && (!best || order(*w) < order(*best)) && has_room(*w, job) &&
           eligible(*w, job) && !std::ranges::count(job.asked, w))
         best = w;
+    }
     return best;
   }
 
@@ -674,10 +731,11 @@
         continue;
       Job& job = it->second;
       --job.awaited;
-      if (lives && eligible(w, job) && has_room(w, job))
+      if (lives && eligible(w, job) && has_room(w, job)) {
         send(job, w);
-      else if (job.awaited == 0)
+      } else if (job.awaited == 0) {
         asked_enough(job);
+      }
     }
   }
 
@@ -726,11 +784,15 @@
 
   void send(Job& job, Worker& w) {
     unhold(job);
-    job.awaited = 0, job.asked.clear(), copies_.count += any_open(job) ? 1 : 0;
+    job.awaited = 0;
+    job.asked.clear();
+    copies_.count += any_open(job) ? 1 : 0;
     const Request& r = job.request;
     int attempt = static_cast<int>(job.attempts.size());
     w.out.push_back({r.id, attempt, r.job_class, job.work, r.slots, r.memory, now_, {}, now_});
-    w.own_work += job.load(), w.own_slots += r.slots, w.own_memory += r.memory;
+    w.own_work += job.load();
+    w.own_slots += r.slots;
+    w.own_memory += r.memory;
     if (warmth(w) < 1)
       w.sent.emplace_back(now_, felt(w, job, 1));
     if (doubt(w) >= kDown)
@@ -738,9 +800,10 @@
     if (!job.attempts.empty() && set_.extra_window)
       extras_.push_back(now_);
     Time since = now_;
-    for (const Attempt& a : job.attempts)
+    for (const Attempt& a : job.attempts) {
       if (a.may_have_run)
         since = std::min(since, a.since);
+    }
     job.attempts.push_back({&w, now_, since, w.zone, w.cell});
     out_->push_back({.kind = ActionKind::Send, .id = job.request.id, .worker = w.id});
     Duration run = set_.tells_start ? Duration(0) : kOverdue * run_time(w, job);
@@ -758,8 +821,10 @@
     job.held_key = turn(job);
     held_.emplace(*job.held_key, job.request.id);
     arm(std::max(now_, last_chance(job)), DueKind::Limit, job.request.id);
-    if (!sweeping_)
-      arm(now_ + kHeldEvery, DueKind::Held, 0), sweeping_ = true;
+    if (!sweeping_) {
+      arm(now_ + kHeldEvery, DueKind::Held, 0);
+      sweeping_ = true;
+    }
   }
 
   // Most worth for a unit of work first, then least time left: in an overload some wait in vain.
@@ -777,9 +842,10 @@
 
   Time last_chance(const Job& job) const {  // after this even the fastest worker would be late
     double fastest = 0.01;
-    for (const Worker* w : ready_)
+    for (const Worker* w : ready_) {
       if (can_run(*w, job))
         fastest = std::max(fastest, w->speed);
+    }
     return job.limit - Duration(kHopeless * job.work / fastest);
   }
 
@@ -791,7 +857,8 @@
       return;
     unhold(job);
     if (job.cls.late_worth > 0 && !job.late && usual_load_ < 1) {
-      job.limit = job.ends, job.late = true;
+      job.limit = job.ends;
+      job.late = true;
       if (!place(job))
         hold(job);
     } else if (refusable(job) || !any_open(job)) {
@@ -809,7 +876,8 @@
 
   // Room appeared at a worker: held jobs that would be in time there are placed as on arrival.
   void offer(Worker& w) {
-    std::size_t looked = 0, misses = 0;
+    std::size_t looked = 0;
+    std::size_t misses = 0;
     for (auto it = held_.begin(); it != held_.end() && looked < kHeldLook; ++looked) {
       if (!w.ready || misses >= kOfferMisses || w.own_slots + others(w) > w.slots - 0.5)
         return;
@@ -847,14 +915,17 @@
     if (kind != NoteKind::Started || o->started)
       return;
     bool prompt = now_ - o->sent < Duration(20) + 4 * set_.tick;
-    o->started = now_, prompt_ += 0.05 * (prompt - prompt_);
-    w.full_gap = Duration(0), w.started_slots += o->slots;
+    o->started = now_;
+    prompt_ += 0.05 * (prompt - prompt_);
+    w.full_gap = Duration(0);
+    w.started_slots += o->slots;
     w.slots = std::max(w.slots, w.started_slots);
     double left = w.slots - w.started_slots;
-    if (prompt)  // it started at once: that much room was free
+    if (prompt) {  // it started at once: that much room was free
       see_others(w, std::min(others(w), w.slots - w.own_slots));
-    else if (left > 0)  // it waited: a queue like the one it stood in may stand there still
+    } else if (left > 0) {  // it waited: a queue like the one it stood in may stand there still
       see_others(w, std::max(others(w), left + 0.5 * (now_ - o->sent) / mean_slot_time(w)));
+    }
     if (!a)
       return;
     cancel_open(it->second, true);  // a copy that still waits elsewhere is not needed
@@ -864,10 +935,12 @@
   }
 
   void cancel_open(const Job& job, bool waiting_only) {
-    for (std::size_t i = 0; i < job.attempts.size() && set_.cancelling; ++i)
-      if (job.attempts[i].open && !(waiting_only && job.attempts[i].started))
+    for (std::size_t i = 0; i < job.attempts.size() && set_.cancelling; ++i) {
+      if (job.attempts[i].open && !(waiting_only && job.attempts[i].started)) {
         out_->push_back(
             {.kind = ActionKind::Cancel, .id = job.request.id, .attempt = static_cast<int>(i)});
+      }
+    }
   }
 
   // EXCEPTION peers: reports are old by a second, and who looks free in one gets the jobs of all.
@@ -888,7 +961,8 @@
     // doubt, no copy.
     if (job.request.streamed)
       return;
-    bool lagging = false, urgent = false;
+    bool lagging = false;
+    bool urgent = false;
     Duration next = seconds(1);
     for (std::size_t i = 0; i < job.attempts.size(); ++i) {
       if (!job.attempts[i].open)
@@ -897,7 +971,8 @@
       Outstanding* o = find(w, job.request.id, static_cast<int>(i));
       if (!o)
         continue;
-      Duration run = run_time(w, job), since = now_ - o->started.value_or(o->sent);
+      Duration run = run_time(w, job);
+      Duration since = now_ - o->started.value_or(o->sent);
       bool waits = set_.tells_start && !o->started;
       bool silent =
           o->started && ms(set_.progress_every) > 0 && now_ - o->heard > 2.1 * set_.progress_every;
@@ -920,9 +995,10 @@
     // run on.
     auto counts = draws() ? &Attempt::may_have_run : &Attempt::open;
     if (lagging && job.cls.effect != Effect::Unsafe && set_.parallel_tries &&
-        std::ranges::count(job.attempts, true, counts) < 2 && extra_allowed(true))
+        std::ranges::count(job.attempts, true, counts) < 2 && extra_allowed(true)) {
       if (Worker* w = choose(job); w && (urgent || has_room(*w, job)))
         send(job, *w);
+    }
   }
 
   // Still queued when even a start now would end late, and late is worth nothing: cancelled, so
@@ -952,10 +1028,12 @@
     double before = doubt(w);
     if (before >= most)
       return;
-    w.doubt = std::min(most, before + amount), w.doubt_at = now_;
+    w.doubt = std::min(most, before + amount);
+    w.doubt_at = now_;
     if (before < kDown && w.doubt >= kDown) {
       log("worker " + w.id + " taken as down: " + symptom);
-      w.trial_gap = kTrialGap, put_off_trial(w);
+      w.trial_gap = kTrialGap;
+      put_off_trial(w);
       // One lost connection is not a lost worker: it may show life at once, but not each time.
       if (set_.may_probe && now_ - w.down_at > kDownAgain)
         probe(w);
@@ -979,7 +1057,9 @@
       if (warmth(w) >= 1 && now_ - w.down_at >= kTrialGap / 2)
         w.cold_since = now_;
     }
-    w.doubt = 0.3 * std::min(doubt(w), kDown), w.doubt_at = now_, w.trial_gap = kTrialGap;
+    w.doubt = 0.3 * std::min(doubt(w), kDown);
+    w.doubt_at = now_;
+    w.trial_gap = kTrialGap;
   }
 
   void put_off_trial(Worker& w) {
@@ -992,24 +1072,29 @@
   void probe(Worker& w) {
     if (std::exchange(w.probe_out, true))
       return;
-    w.reported_at = now_, out_->push_back({.kind = ActionKind::Probe, .worker = w.id});
+    w.reported_at = now_;
+    out_->push_back({.kind = ActionKind::Probe, .worker = w.id});
   }
 
   // Reports come only with probes: about one probe for each job goes to the worker heard of least
   // recently.
   void look_around() {
     Worker* oldest = nullptr;
-    for (Worker* w : ready_)
+    for (Worker* w : ready_) {
       if (!w->probe_out && doubt(*w) < kDown && (!oldest || w->reported_at < oldest->reported_at))
         oldest = w;
+    }
     if (oldest && set_.may_probe && now_ - oldest->reported_at > Duration(500))
       probe(*oldest);
   }
 
   void trials() {
-    for (Worker* w : ready_)
-      if (doubt(*w) >= kDown && now_ >= w->trial_at && !w->probe_out)
-        probe(*w), put_off_trial(*w);
+    for (Worker* w : ready_) {
+      if (doubt(*w) >= kDown && now_ >= w->trial_at && !w->probe_out) {
+        probe(*w);
+        put_off_trial(*w);
+      }
+    }
   }
 
   void probe_result(std::string_view id, Outcome outcome, const LoadReport& r) {
@@ -1044,16 +1129,18 @@
       return;
     double free = std::max(0.0, *r.free_slots);
     w.slots = std::max({w.slots, w.started_slots, free < 1e4 ? std::round(free) : 0});
-    most_slots_ = std::max(most_slots_, w.slots), w.slots_seen = true;
+    most_slots_ = std::max(most_slots_, w.slots);
+    w.slots_seen = true;
     // A report that comes with the end of a job was taken while that job, and others of ours that
     // have ended since, still ran: they must not count as others' work.
     double ours =
         std::max(w.own_slots, with_end && now_ - w.peak_at < kReportAge ? w.peak_slots : 0);
     double theirs = w.slots - free - std::min(ours, w.slots);
     // Free slots are of a moment that has passed, the busy share of a span: what lasts shows in it.
-    if (r.busy && std::isfinite(*r.busy))
+    if (r.busy && std::isfinite(*r.busy)) {
       theirs +=
           kLasting * (w.slots * std::clamp(*r.busy, 0.0, 1.0) - std::min(ours, w.slots) - theirs);
+    }
     double waiting = r.inflight ? *r.inflight - ours : r.queue ? theirs + *r.queue : theirs;
     see_others(w, std::isfinite(waiting) ? std::max(theirs, waiting) : theirs);
     usual_load_ += 0.05 * ((w.others + w.own_slots) / w.slots - usual_load_);
@@ -1084,10 +1171,11 @@
         if (e.outcome == Outcome::Void && extra != extras_.end())
           extras_.erase(extra);
       }
-      if (e.final)
+      if (e.final) {
         forget(job);
-      else if (!any_open(job))
+      } else if (!any_open(job)) {
         go_on(job);
+      }
     }
     if (wit != workers_.end())
       offer(wit->second);
@@ -1131,9 +1219,13 @@
       w.full_until = now_ + w.full_gap;
       see_others(w, w.slots);
     }
-    if (now_ - w.peak_at >= kReportAge || w.own_slots >= w.peak_slots)
-      w.peak_slots = w.own_slots, w.peak_at = now_;
-    w.own_work -= o->work * o->slots, w.own_slots -= o->slots, w.own_memory -= o->memory;
+    if (now_ - w.peak_at >= kReportAge || w.own_slots >= w.peak_slots) {
+      w.peak_slots = w.own_slots;
+      w.peak_at = now_;
+    }
+    w.own_work -= o->work * o->slots;
+    w.own_slots -= o->slots;
+    w.own_memory -= o->memory;
     if (o->started)
       w.started_slots -= o->slots;
     w.out.erase(w.out.begin() + (o - w.out.data()));
@@ -1236,14 +1328,15 @@
       auto it = jobs_.find(due.id);
       if (it == jobs_.end())
         continue;
-      if (due.kind == DueKind::Answer && now_ >= it->second.ends)
+      if (due.kind == DueKind::Answer && now_ >= it->second.ends) {
         answer_due(it->second);
-      else if (due.kind == DueKind::Ask && it->second.awaited > 0)
+      } else if (due.kind == DueKind::Ask && it->second.awaited > 0) {
         asked_enough(it->second);
-      else if (due.kind == DueKind::Limit)
+      } else if (due.kind == DueKind::Limit) {
         limit_due(it->second);
-      else if (due.kind == DueKind::Watch)
+      } else if (due.kind == DueKind::Watch) {
         watch(it->second);
+      }
     }
     if (armed_ && *armed_ > now_)
       return;
@@ -1258,7 +1351,8 @@
   }
 
   Settings set_;
-  Time now_, begun_;
+  Time now_;
+  Time begun_;
   std::vector<Action>* out_;
   std::mt19937_64 random_;
   std::unordered_map<std::string, Worker, NameHash, std::equal_to<>>
@@ -1267,23 +1361,36 @@
   Pool pools_[2][2];                         // [in another zone][short]
   std::unordered_map<RequestId, Job> jobs_;  // never iterated for a decision
   std::set<std::pair<Turn, RequestId>> held_;
-  std::deque<Time> taken_,
-      extras_;  // requests, and attempts beyond a request's first, of the last window
+  std::deque<Time> taken_;
+  std::deque<Time> extras_;  // requests, and attempts beyond a request's first, of the last window
   std::map<std::size_t, ClassStats> class_stats_;
   std::priority_queue<Due, std::vector<Due>, std::greater<>> dues_;
   std::optional<Time> armed_;
   std::uint64_t order_ = 0;
   std::vector<std::pair<double, double>> releases_;
   std::vector<Tenant> tenants_;
-  double all_quotas_ = 0, traffic_ = 0, traffic_span_ = 0;
-  Recent recent_, asked_, copies_;  // the latter two: all requests, and second copies
+  double all_quotas_ = 0;
+  double traffic_ = 0;
+  double traffic_span_ = 0;
+  Recent recent_;
+  Recent asked_;
+  Recent copies_;  // the latter two: all requests, and second copies
   HintHistogram hints_;
-  double cutoff_ = 0, short_share_ = 0.5, mean_work_ = 100, mean_worth_ = 0, usual_errors_ = 0,
-         usual_load_ = 0, mean_speed_ = 1, most_slots_ = kGuessedSlots,
-         prompt_ =
-             1;  // of the jobs of late, those that started at once, as far as start notes tell
-  Time cutoff_due_{}, traffic_at_{}, heard_peers_{Duration(-1e12)};
-  bool subscribed_ = false, sweeping_ = false;
+  double cutoff_ = 0;
+  double short_share_ = 0.5;
+  double mean_work_ = 100;
+  double mean_worth_ = 0;
+  double usual_errors_ = 0;
+  double usual_load_ = 0;
+  double mean_speed_ = 1;
+  double most_slots_ = kGuessedSlots;
+  double prompt_ =
+      1;  // of the jobs of late, those that started at once, as far as start notes tell
+  Time cutoff_due_{};
+  Time traffic_at_{};
+  Time heard_peers_{Duration(-1e12)};
+  bool subscribed_ = false;
+  bool sweeping_ = false;
   std::uint64_t ask_ = 0;  // the latest call or wait for the list; its timer alone counts
   Duration ask_backoff_{0};
   int logged_ = 0;
@@ -1299,7 +1406,8 @@
     double rho = load * b.work / work_ / share;
     return rho < 1 ? b.square / (share * share) / (1 - rho) * b.inverse / b.count : -1;
   };
-  Bin below, all;
+  Bin below;
+  Bin all;
   for (const Bin& b : bins_)
     all += b;
   std::optional<double> best;
@@ -1313,12 +1421,15 @@
     above -= below;
     if (above.count <= 1e-6 * all.count)
       break;
-    double s = slowdown(below, short_share), l = slowdown(above, 1 - short_share);
+    double s = slowdown(below, short_share);
+    double l = slowdown(above, 1 - short_share);
     if (s < 0 || l < 0)
       continue;
     double gap = std::abs(std::log(s / l));
-    if (!best || gap < best_gap)
-      best = lower_edge(i + 1), best_gap = gap;
+    if (!best || gap < best_gap) {
+      best = lower_edge(i + 1);
+      best_gap = gap;
+    }
   }
   return best;
 }
--- a/src/operations/calls.cpp
+++ b/src/operations/calls.cpp
@@ -24,7 +24,8 @@
       out += text[i];
       continue;
     }
-    int high = i + 2 < text.size() ? hex(text[i + 1]) : -1, low = high >= 0 ? hex(text[i + 2]) : -1;
+    int high = i + 2 < text.size() ? hex(text[i + 1]) : -1;
+    int low = high >= 0 ? hex(text[i + 2]) : -1;
     if (low < 0 || high * 16 + low < ' ')
       throw HttpError(400, "badly escaped");
     out += static_cast<char>(high * 16 + low);
@@ -61,8 +62,9 @@
 
 Answer answer_call(const protocol::Message& call, Desk& desk) try {
   std::string path = call.target.substr(0, call.target.find('?'));
-  bool health = path == "/admin/health", stats = path == "/admin/stats",
-       back = path == "/admin/uncordon";
+  bool health = path == "/admin/health";
+  bool stats = path == "/admin/stats";
+  bool back = path == "/admin/uncordon";
   std::string view = path == "/admin/fleet" ? desk.fleet() : "";
   if (!health && !stats && !back && view.empty() && path != "/admin/cordon")
     return {404, "no such call"};
--- a/src/operations/calls.h
+++ b/src/operations/calls.h
@@ -34,10 +34,17 @@
 std::string query_value(const std::string& target, const std::string& name);
 
 struct Gauges {  // as of now
-  std::size_t open_requests = 0, registry_entries = 0, out_of_rotation = 0;
+  std::size_t open_requests = 0;
+  std::size_t registry_entries = 0;
+  std::size_t out_of_rotation = 0;
   struct Fleet {  // the view, where one is kept
-    std::size_t alive = 0, suspect = 0, dead = 0, left = 0;
-    std::uint64_t changes = 0, sent = 0, dropped = 0;  // changes of a state; datagrams
+    std::size_t alive = 0;
+    std::size_t suspect = 0;
+    std::size_t dead = 0;
+    std::size_t left = 0;
+    std::uint64_t changes = 0;
+    std::uint64_t sent = 0;
+    std::uint64_t dropped = 0;  // changes of a state; datagrams
   };
   std::optional<Fleet> fleet{};
 };
--- a/src/operations/figures.h
+++ b/src/operations/figures.h
@@ -23,7 +23,8 @@
   }
   std::vector<Ends> ends;     // by the module's number of the class
   std::uint64_t relayed = 0;  // attempts whose last byte went out to an instance
-  std::uint64_t cfg_accepted = 0, cfg_invalid = 0;  // files taken and turned down at SIGHUP
+  std::uint64_t cfg_accepted = 0;
+  std::uint64_t cfg_invalid = 0;  // files taken and turned down at SIGHUP
 };
 
 }  // namespace oatledge::operations
--- a/src/operations/log.h
+++ b/src/operations/log.h
@@ -32,7 +32,8 @@
   void write(const std::string& kind, const std::string& text) const;
   struct Window {
     transport::Time since{};
-    int lines = 0, dropped = 0;
+    int lines = 0;
+    int dropped = 0;
   };
   const transport::Clock& clock_;
   Sink sink_;
--- a/src/program/app.cpp
+++ b/src/program/app.cpp
@@ -51,8 +51,10 @@
     return std::nullopt;
   const features::Streaming& f = all.streaming();
   Streaming s;
-  s.most_body = f.most_body_bytes(), s.replay_bytes = f.replay_bytes();
-  s.stall = Duration(f.stall_ms()), s.longest = Duration(f.longest_transfer_ms());
+  s.most_body = f.most_body_bytes();
+  s.replay_bytes = f.replay_bytes();
+  s.stall = Duration(f.stall_ms());
+  s.longest = Duration(f.longest_transfer_ms());
   s.budget = std::make_shared<streaming::Budget>(std::size_t{f.memory_ceiling_mb()} << 20,
                                                  std::size_t{f.window_kb()} << 10);
   return s;
@@ -210,9 +212,10 @@
 // table stay. Only what the program was built with stays as it is until a restart.
 void App::reload(Config next) {
   std::string kept;
-  for (const auto& [field, text] : next.fixed)
+  for (const auto& [field, text] : next.fixed) {
     if (config_.fixed[field] != text)
       kept += (kept.empty() ? "" : ", ") + field;
+  }
   bool moved = next.discovery != config_.discovery;
   bool retuned = next.file["settings"] != config_.file["settings"];
   keep_numbers(config_, next);
@@ -220,7 +223,8 @@
   if (retuned)
     limit_budget(budget_);
   config_.words = std::move(next.words);
-  config_.conn_idle = next.conn_idle, config_.file = std::move(next.file);
+  config_.conn_idle = next.conn_idle;
+  config_.file = std::move(next.file);
   if (retuned)
     instances_.retime(instance_times(config_));
   ++figures_.cfg_accepted;
@@ -271,9 +275,10 @@
   Duration since = clock_.now() - *terminated_;
   Duration time = std::min(longest, kLongestCounted) + kBeforeKill;
   bool last_call = since >= time;
-  if (last_call && give_away_)
+  if (last_call && give_away_) {
     for (routing::CommandRef ref : router_.open_refs())
       give_away_(ref);
+  }
   if (last_call)
     wards_.fail_all();
   if (last_call && router_.open_commands() > 0) {
@@ -281,18 +286,21 @@
               std::to_string(router_.open_commands()) + " commands fail: the time to end is over");
     router_.fail_all();
   }
-  if (last_call)
-    front_.refuse_commands(), front_.cut_streams();
+  if (last_call) {
+    front_.refuse_commands();
+    front_.cut_streams();
+  }
   bool passing =
       front_.passing();  // to the process that has taken over: nothing new comes, nothing is closed
   if (!passing && since >= std::max(kStillComing, kServedOn * time))
     front_.close_connections();
   // Whoever comes while the last bytes are taken is still served, and told to go at the last call.
   bool busy = router_.open_commands() > 0 || !front_.empty() || (!passing && since < kStillComing);
-  if (busy)
+  if (busy) {
     quiet_since_.reset();
-  else if (!quiet_since_)
+  } else if (!quiet_since_) {
     quiet_since_ = clock_.now();
+  }
   finished_ =
       since >= time + kFarewell || (quiet_since_ && clock_.now() - *quiet_since_ >= kFarewell);
   if (!finished_)
--- a/src/program/app.h
+++ b/src/program/app.h
@@ -21,7 +21,9 @@
 using operations::Log;
 
 struct Shares {  // of the descriptors
-  std::size_t accepted, connected, commands;
+  std::size_t accepted;
+  std::size_t connected;
+  std::size_t commands;
   std::size_t operators;  // of their callers; set aside where there is an address for them
 };
 Shares share_descriptors(const Config& config);
@@ -91,8 +93,10 @@
   routing::Router router_;
   Wards wards_;
   UdpPeers* peers_ = nullptr;
-  std::optional<transport::Time> terminated_, quiet_since_;  // the latter: nothing is open any more
-  bool finished_ = false, serves_ = true;
+  std::optional<transport::Time> terminated_;
+  std::optional<transport::Time> quiet_since_;  // the latter: nothing is open any more
+  bool finished_ = false;
+  bool serves_ = true;
   TellByHand tell_by_hand_;
   GiveAway give_away_;
   Budget budget_ = Budget::Whole;
--- a/src/program/commands.cpp
+++ b/src/program/commands.cpp
@@ -9,8 +9,11 @@
 
 void show_permits(const Config& c) {
   settings::Place place;
-  place.sockets = c.sockets, place.memory_mb = c.memory_mb, place.most_open = c.most_open;
-  place.peers_allowed = c.may_talk, place.listens = !c.peer_listen.empty(),
+  place.sockets = c.sockets;
+  place.memory_mb = c.memory_mb;
+  place.most_open = c.most_open;
+  place.peers_allowed = c.may_talk;
+  place.listens = !c.peer_listen.empty();
   place.peers = c.peers.size();
   std::fputs(settings::describe(c.settings, place).c_str(), stdout);
   for (const std::string& warning : settings::contradictions(c.settings, place))
@@ -31,10 +34,11 @@
   for (const Json::Value& m : all["members"]) {
     std::printf("%-21s  %-7s  %11u  %7.1f s  ", m["member"].asCString(), m["state"].asCString(),
                 m["incarnation"].asUInt(), m["for_ms"].asDouble() / 1000);
-    if (m.isMember("round_trip_ms"))
+    if (m.isMember("round_trip_ms")) {
       std::printf("%7.1f ms\n", m["round_trip_ms"].asDouble());
-    else
+    } else {
       std::printf("%10s\n", "-");
+    }
   }
 }
 
--- a/src/program/config.cpp
+++ b/src/program/config.cpp
@@ -75,10 +75,12 @@
 // What all the elements of a list of objects have: the least that another one needs.
 Json::Value common(const Json::Value& list) {
   Json::Value least = list[0];
-  for (const Json::Value& item : list)
-    for (const std::string& name : least.getMemberNames())
+  for (const Json::Value& item : list) {
+    for (const std::string& name : least.getMemberNames()) {
       if (!item.isObject() || type_of(item[name]) != type_of(least[name]))
         least.removeMember(name);
+    }
+  }
   return least;
 }
 
@@ -89,9 +91,10 @@
     throw std::runtime_error(path + " is missing");
   if (type_of(was) != type_of(is))
     throw std::runtime_error(path + " is of another type than before");
-  if (was.isObject())
+  if (was.isObject()) {
     for (const std::string& name : was.getMemberNames())
       need_like(was[name], is[name], path.empty() ? name : path + "." + name);
+  }
   if (!was.isArray() || was.empty())
     return;
   if (is.empty())
@@ -151,17 +154,20 @@
   Json::Value all = protocol::parse_json(json);
   if (!all.isObject() || !all["settings"].isObject())
     throw std::runtime_error("it holds no settings");
-  if (occasion == Occasion::Reload)
-    need_like(in_force, all, ""), need_sense(all["settings"]);
+  if (occasion == Occasion::Reload) {
+    need_like(in_force, all, "");
+    need_sense(all["settings"]);
+  }
   Config c;
   auto either = [&](const char* variable, const char* field, bool file_first = false) {
     std::string value = environment(variable);
     std::string filed = all[field].isString() ? all[field].asString() : std::string();
     if (value.empty() || (file_first && !filed.empty()))
       value = filed;
-    if (value.empty())
+    if (value.empty()) {
       throw std::runtime_error(std::string("neither ") + variable + " nor \"" + field +
                                "\" is set");
+    }
     return value;
   };
   c.name = either("ROUTER_NAME", "name");
@@ -191,8 +197,10 @@
   c.conn_idle = reader.time("Permissions.ConnIdleMs");
   c.most_open = static_cast<std::size_t>(std::max(0, reader.whole("Permissions.MaxOpen", 0)));
 
-  c.words.classes = names(s["Lanes"]), c.words.tenants = names(s["Tenants"]);
-  c.words.zones = names(s["Localities"]), c.words.kinds = names(s["Skus"]);
+  c.words.classes = names(s["Lanes"]);
+  c.words.tenants = names(s["Tenants"]);
+  c.words.zones = names(s["Localities"]);
+  c.words.kinds = names(s["Skus"]);
   for (const auto& k : c.settings.classes) {
     c.words.keyed.push_back(k.effect == stagehinge::Effect::Keyed);
     c.words.deadlines.push_back(k.deadline);
@@ -211,7 +219,8 @@
   if (all["known"].isObject() && !all["known"].empty())
     c.known = protocol::read_names(all["known"], c.words);
   c.file = std::move(all);
-  c.file.removeMember("known"), c.file.removeMember("seed");
+  c.file.removeMember("known");
+  c.file.removeMember("seed");
   return c;
 } catch (const std::exception& e) {  // jsoncpp's and the reader's errors among them
   throw std::runtime_error(std::string("configuration: ") + e.what());
@@ -245,13 +254,18 @@
   std::vector<stagehinge::ClassSettings> all = now.settings.classes;
   std::vector<bool> dropped(words.classes.size(), true);
   all.resize(words.classes.size());
-  for (std::size_t i = 0; i < classes.size(); ++i)
-    all[classes[i]] = s.classes[i], dropped[classes[i]] = false;
-  s.classes = std::move(all), words.dropped = std::move(dropped);
-  words.keyed.clear(), words.deadlines.clear();
-  for (const auto& c : s.classes)
-    words.keyed.push_back(c.effect == stagehinge::Effect::Keyed),
-        words.deadlines.push_back(c.deadline);
+  for (std::size_t i = 0; i < classes.size(); ++i) {
+    all[classes[i]] = s.classes[i];
+    dropped[classes[i]] = false;
+  }
+  s.classes = std::move(all);
+  words.dropped = std::move(dropped);
+  words.keyed.clear();
+  words.deadlines.clear();
+  for (const auto& c : s.classes) {
+    words.keyed.push_back(c.effect == stagehinge::Effect::Keyed);
+    words.deadlines.push_back(c.deadline);
+  }
 }
 
 }  // namespace oatledge::program
--- a/src/program/config.h
+++ b/src/program/config.h
@@ -11,9 +11,12 @@
 namespace oatledge::program {
 
 struct Config {
-  std::string name, listen, discovery;
+  std::string name;
+  std::string listen;
+  std::string discovery;
   std::string ops;  // the operators' address; empty: none
-  std::size_t sockets = 1024, memory_mb = 192;
+  std::size_t sockets = 1024;
+  std::size_t memory_mb = 192;
   std::size_t most_open = 0;  // commands; 0: the settings name no limit
   stagehinge::Duration conn_idle{0};
   stagehinge::Settings settings;
--- a/src/program/main.cpp
+++ b/src/program/main.cpp
@@ -97,17 +97,18 @@
   transport::Loop loop(deadlines, clock);
   operations::Log log(clock, format, config.name);
   // Only who has an operators' address can be asked whether it has taken over.
-  std::string folder = environment("TMPDIR"),
-              local = config.ops.empty() || folder.empty() ? "" : folder + kLocal;
+  std::string folder = environment("TMPDIR");
+  std::string local = config.ops.empty() || folder.empty() ? "" : folder + kLocal;
   const handover::Who self{config.name, config.listen};
   std::optional<program::Upgrade::Found> found;
-  if (!local.empty())
+  if (!local.empty()) {
     try {
       found = program::Upgrade::ask(local, self, log);
     } catch (const std::runtime_error& e) {
       log.line("upgrade", std::string("no other process can take over: ") + e.what());
       local.clear();
     }
+  }
   if (found && found->welcome) {
     to_steady = transport::Duration(found->welcome->wall_to_steady());
     config = read(program::Occasion::Start);
@@ -119,9 +120,10 @@
   };
   // Before the other one, so that GLib serves its sockets first in each turn.
   std::optional<transport::GioNetwork> operators;
-  if (!config.ops.empty())
+  if (!config.ops.empty()) {
     operators.emplace(loop.context(), deadlines, clock,
                       transport::GioNetwork::Limits{shares.operators, 0}, complain);
+  }
   transport::GioNetwork network(loop.context(), deadlines, clock,
                                 {shares.accepted, shares.connected}, complain);
   loop.after_sockets([&network] { return network.serve_bulk(); });
@@ -150,7 +152,8 @@
       return;
     try {
       fleet::UdpPeers::Options options;
-      options.listen = config.peer_listen, options.peers = config.peers,
+      options.listen = config.peer_listen;
+      options.peers = config.peers;
       options.self = config.settings.index;
       options.view = features.has_fleet();
       options.incarnation = from.incarnation ? from.incarnation : seconds_of_now();
@@ -234,7 +237,7 @@
   key->add_option("--id", key_id, "its number in the file")->required()->check(CLI::Range(0, 255));
   CLI11_PARSE(line, argc, argv);
   features::Features features;
-  if (!path.empty())
+  if (!path.empty()) {
     try {
       features = features::read_features_file(path);
       // At a start, too: one that cannot be used must not leave a member open to strangers, or
@@ -248,9 +251,11 @@
       std::fprintf(stderr, "%s\n", e.what());
       return 1;
     }
-  if (!config_path.empty())
+  }
+  if (!config_path.empty()) {
     program::show_permits(
         program::read_config(read_file(config_path), environment, transport::Duration(0)));
+  }
   if (fleet->parsed())
     program::show_fleet(ops, json);
   while (fleet->parsed() && every > 0) {
--- a/src/program/upgrade.cpp
+++ b/src/program/upgrade.cpp
@@ -38,7 +38,8 @@
                  google::protobuf::RepeatedPtrField<handover::ByHand>& out) {
   for (const auto& [uid, hand] : roster.by_hand()) {
     handover::ByHand& b = *out.Add();
-    b.set_uid(uid), b.set_since(ms(hand.since));
+    b.set_uid(uid);
+    b.set_since(ms(hand.since));
     if (hand.back)
       b.set_back(ms(*hand.back));
   }
@@ -72,7 +73,8 @@
     log.line("upgrade", "it turned us away: " + m.refusal().why());
     found.refused = true;
   } else if (m.has_welcome() && packet->descriptors.size() == 1) {
-    found.welcome = m.welcome(), found.listener = std::move(packet->descriptors[0]);
+    found.welcome = m.welcome();
+    found.listener = std::move(packet->descriptors[0]);
   }
   return found;
 }
@@ -82,10 +84,12 @@
   protocol::NameList list{welcome.revision(), true, {}};
   for (const handover::Entry& e : welcome.entries()) {
     protocol::Listed l;
-    l.uid = e.uid(), l.address = e.address();
-    l.entry.zone = number_of(words.zones, e.zone()),
+    l.uid = e.uid();
+    l.address = e.address();
+    l.entry.zone = number_of(words.zones, e.zone());
     l.entry.kind = number_of(words.kinds, e.kind());
-    l.entry.cell = e.cell(), l.entry.size = e.size();
+    l.entry.cell = e.cell();
+    l.entry.size = e.size();
     l.entry.readiness = e.ready() ? Readiness::Ready : Readiness::Terminating;
     if (e.has_online_since())
       l.entry.online_since = Time(Duration(e.online_since()));
@@ -240,9 +244,10 @@
   if (!packet.descriptors.empty())
     inherited_.socket = std::move(packet.descriptors[0]);
   inherited_.incarnation = yours.incarnation();
-  for (const handover::FleetMember& f : yours.members())
+  for (const handover::FleetMember& f : yours.members()) {
     if (auto who = fleet::parse_endpoint(f.address()); who && f.state() >= 1 && f.state() <= 4)
       inherited_.known.push_back({*who, static_cast<fleet::State>(f.state()), f.incarnation()});
+  }
   Heir::Do what = heir_.yours();
   if (what != Heir::Do::Serve)
     return act(what);
@@ -260,7 +265,8 @@
     if (elder_.state() != Elder::State::Yielded)
       app_.hear(app_.roster().hold_cold(std::nullopt));
   });
-  std::size_t theirs = yours.accepted(), all = options_.shares.accepted;
+  std::size_t theirs = yours.accepted();
+  std::size_t all = options_.shares.accepted;
   accepted_limit_ = std::max(kLeastAccepted, all - std::min(all, theirs));
   network_.limit({accepted_limit_, options_.shares.connected / 2});
   log_.line("upgrade",
@@ -362,10 +368,12 @@
   w.set_revision(app_.roster().revision());
   for (const auto& [uid, l] : app_.roster().listed()) {
     handover::Entry& e = *w.add_entries();
-    e.set_uid(uid), e.set_address(l.address);
-    e.set_zone(name_of(app_.words().zones, l.entry.zone)),
-        e.set_kind(name_of(app_.words().kinds, l.entry.kind));
-    e.set_cell(l.entry.cell), e.set_size(l.entry.size);
+    e.set_uid(uid);
+    e.set_address(l.address);
+    e.set_zone(name_of(app_.words().zones, l.entry.zone));
+    e.set_kind(name_of(app_.words().kinds, l.entry.kind));
+    e.set_cell(l.entry.cell);
+    e.set_size(l.entry.size);
     e.set_ready(l.entry.readiness == Readiness::Ready);
     if (l.entry.online_since)
       e.set_online_since(ms(*l.entry.online_since));
@@ -387,13 +395,16 @@
   y.set_accepted(static_cast<std::uint32_t>(network_.accepted()));
   put_by_hand(app_.roster(), *y.mutable_by_hand());
   std::vector<transport::Descriptor> datagrams;
-  if (app_.peers())
-    app_.peers()->speak(false), datagrams.push_back(app_.peers()->descriptor());
+  if (app_.peers()) {
+    app_.peers()->speak(false);
+    datagrams.push_back(app_.peers()->descriptor());
+  }
   if (const fleet::View* view = app_.peers() ? app_.peers()->view() : nullptr) {
     y.set_incarnation(view->incarnation());
     for (const auto& [who, member] : view->members()) {
       handover::FleetMember& f = *y.add_members();
-      f.set_address(to_text(who)), f.set_state(static_cast<std::uint32_t>(member.state));
+      f.set_address(to_text(who));
+      f.set_state(static_cast<std::uint32_t>(member.state));
       f.set_incarnation(member.incarnation);
     }
   }
@@ -426,12 +437,14 @@
   given_.insert(given->id);
   Message m;
   handover::Job& job = *m.mutable_job();
-  job.set_id(given->id), job.set_name(app_.words().classes.at(given->job_class)),
-      job.set_ends(ms(given->ends));
+  job.set_id(given->id);
+  job.set_name(app_.words().classes.at(given->job_class));
+  job.set_ends(ms(given->ends));
   for (const std::string& uid : given->instances)
     job.add_uids(uid);
   job.mutable_connection()->set_unread(std::move(parting->unread));
-  job.set_keep_alive(parting->keep_alive), job.set_old(parting->old);
+  job.set_keep_alive(parting->keep_alive);
+  job.set_old(parting->old);
   std::vector<transport::Descriptor> one;
   one.push_back(std::move(parting->connection));
   tell(new_, m, std::move(one));
@@ -488,7 +501,8 @@
   if (w.answers == 0)
     return false;
   Message m;
-  m.mutable_news()->set_number(++asked_last_), m.mutable_news()->set_body(std::string(body));
+  m.mutable_news()->set_number(++asked_last_);
+  m.mutable_news()->set_body(std::string(body));
   asked_.emplace(asked_last_, std::move(w));
   tell_all(m);
   return true;
@@ -509,9 +523,10 @@
 }
 
 void Upgrade::tell_all(const Message& m, const Link* but) {
-  for (Link* link : {&old_, &new_})
+  for (Link* link : {&old_, &new_}) {
     if (link != but)
       tell(*link, m);
+  }
 }
 
 }  // namespace oatledge::program
--- a/src/program/upgrade.h
+++ b/src/program/upgrade.h
@@ -42,8 +42,9 @@
     handover::Who self;
     Shares shares;
     transport::Duration wall_to_steady{0};
-    transport::Duration fall_span{0}, ramp{0};  // of cold instances
-    transport::Duration budget_window{0};       // of the retry budget; 0: there is none
+    transport::Duration fall_span{0};
+    transport::Duration ramp{0};           // of cold instances
+    transport::Duration budget_window{0};  // of the retry budget; 0: there is none
     // Speaks with the other dispatchers from now on; with the other process's socket, where it had
     // one.
     std::function<void(Inherited)> talk;
@@ -96,7 +97,8 @@
   Log& log_;
   handover::Heir heir_;
   handover::Elder elder_;
-  Link old_, new_;
+  Link old_;
+  Link new_;
   transport::Descriptor listener_;  // of the old one, until we take from it
   Inherited inherited_;             // likewise
   std::unique_ptr<transport::LocalListener> found_here_;
--- a/src/program/wards.cpp
+++ b/src/program/wards.cpp
@@ -42,10 +42,11 @@
     return true;
   if (std::erase(w.instances, news.from) == 0)
     return true;  // an attempt that was given up before
-  if (news.what == What::Done)
+  if (news.what == What::Done) {
     answer(news.id, 200, news.result);
-  else if (w.instances.empty())
+  } else if (w.instances.empty()) {
     answer(news.id, 502, kFailed);
+  }
   return true;
 }
 
--- a/src/protocol/body.cpp
+++ b/src/protocol/body.cpp
@@ -88,7 +88,8 @@
 std::string BodyWriter::chunk_head(std::size_t size) {
   char text[24];
   char* end = std::to_chars(text, text + sizeof text - 2, size, 16).ptr;
-  *end++ = '\r', *end++ = '\n';
+  *end++ = '\r';
+  *end++ = '\n';
   return {text, end};
 }
 
--- a/src/protocol/body.h
+++ b/src/protocol/body.h
@@ -54,7 +54,10 @@
 
   Framing framing_ = Framing::Length;
   Stage stage_ = Stage::Done;
-  std::uint64_t length_ = 0, left_ = 0, read_ = 0, most_ = 0;
+  std::uint64_t length_ = 0;
+  std::uint64_t left_ = 0;
+  std::uint64_t read_ = 0;
+  std::uint64_t most_ = 0;
   std::string line_;  // of the framing, as far as it has come
   std::size_t trailer_bytes_ = 0;
 };
--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -99,9 +99,10 @@
 }
 
 std::string_view Message::header(std::string_view name) const {
-  for (const auto& [n, value] : headers)
+  for (const auto& [n, value] : headers) {
     if (same_name(n, name))
       return value;
+  }
   return {};
 }
 
@@ -248,8 +249,10 @@
   expects_ = same_name(message_.header("Expect"), "100-continue");
   bool bodiless = message_.status == 204 || message_.status == 304 || message_.status / 100 == 1;
   bool until_close = kind_ == Kind::Response && !length && !chunked && !bodiless;
-  if (bodiless)
-    length = 0, chunked = false;
+  if (bodiless) {
+    length = 0;
+    chunked = false;
+  }
   streams_this_ = streams_ && streams_(message_);
   body_ = BodyReader(chunked       ? Framing::Chunked
                      : until_close ? Framing::UntilClose
--- a/src/protocol/http.h
+++ b/src/protocol/http.h
@@ -22,8 +22,9 @@
 bool same_name(std::string_view a, std::string_view b);  // header names: case does not count
 
 struct Message {
-  std::string method, target;  // of a request
-  int status = 0;              // of a response
+  std::string method;
+  std::string target;  // of a request
+  int status = 0;      // of a response
   Headers headers;
   std::string body;
   bool keep_alive = true;
@@ -85,7 +86,8 @@
   Stage stage_ = Stage::Head;
   Message message_;
   BodyReader body_;
-  bool expects_ = false, streams_this_ = false;
+  bool expects_ = false;
+  bool streams_this_ = false;
 };
 
 std::string write_request(std::string_view method, std::string_view target, const Headers& headers,
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -173,10 +173,11 @@
   ClientCommand c;
   // Said twice it could mean either; nobody may later read it the other way.
   for (const char* name :
-       {"X-Correlation-Id", "X-Service-Class", "X-Account", "X-Time-Left-Ms", "Idempotency-Key"})
+       {"X-Correlation-Id", "X-Service-Class", "X-Account", "X-Time-Left-Ms", "Idempotency-Key"}) {
     if (std::ranges::count_if(m.headers, [&](const auto& h) { return same_name(h.first, name); }) >
         1)
       throw Refused(std::string("repeated ") + name);
+  }
   c.id = m.header("X-Correlation-Id");
   c.request.id = read_id(c.id);
   auto job_class = index_of(words.classes, m.header("X-Service-Class"));
@@ -192,9 +193,10 @@
   if (left.find_first_not_of("0123456789") != std::string_view::npos)
     throw Refused("bad X-Time-Left-Ms");
   c.request.patience = Duration(need_number(left, 0, kMostMs, "X-Time-Left-Ms"));
-  if (m.has("X-Weight-Hint"))
+  if (m.has("X-Weight-Hint")) {
     c.request.hint =
         Duration(need_number(m.header("X-Weight-Hint"), 0, kMostMs * 1000, "X-Weight-Hint") / 1000);
+  }
   each_pair(m.header("X-Facts"), [&](std::string_view name, std::string_view value) {
     if (name == "slots")
       c.request.slots = need_number(value, 0, 1e6, "slots");
@@ -233,19 +235,21 @@
                               Duration time_left, std::optional<std::uint64_t> length) {
   Headers headers = submit_headers(c, address, time_left);
   headers.insert(headers.end(), c.fields.begin(), c.fields.end());
-  if (length)
+  if (length) {
     headers.emplace_back("Content-Length", std::to_string(*length));
-  else
+  } else {
     headers.emplace_back("Transfer-Encoding", "chunked");
+  }
   return write_head("POST " + c.target + " HTTP/1.1", headers);
 }
 
 Headers content_fields(const Headers& headers) {
   Headers kept;
-  for (const auto& h : headers)
+  for (const auto& h : headers) {
     if (h.first.size() > 8 && same_name(std::string_view(h.first).substr(0, 8), "Content-") &&
         !same_name(h.first, "Content-Length"))
       kept.push_back(h);
+  }
   return kept;
 }
 
@@ -290,23 +294,26 @@
 News read_news(std::string_view body, const Vocabulary& words) {
   Json::Value v = parse_json(body);
   News n;
-  n.id = read_id(json_text(v, "id")), n.from = json_text(v, "from");
+  n.id = read_id(json_text(v, "id"));
+  n.from = json_text(v, "from");
   std::string state = json_text(v, "state");
   using What = News::What;
-  if (state == "started")
+  if (state == "started") {
     n.what = What::Started;
-  else if (state == "running")
+  } else if (state == "running") {
     n.what = What::Progress;
-  else if (state == "done")
-    n.what = What::Done, n.result = json_text(v, "result");
-  else if (state == "failed")
+  } else if (state == "done") {
+    n.what = What::Done;
+    n.result = json_text(v, "result");
+  } else if (state == "failed") {
     n.what = What::Failed;
-  else if (state == "returned")
+  } else if (state == "returned") {
     n.what = What::Returned;
-  else if (state == "lost")
+  } else if (state == "lost") {
     n.what = What::Lost;
-  else
+  } else {
     throw Refused("unknown state");
+  }
   n.report = read_load_json(v["load"], words);
   return n;
 }
@@ -317,7 +324,8 @@
   if (!v.isObject() || !v["rev"].isInt64() || !v["all"].isBool() || !v["targets"].isArray())
     throw Refused("a list needs rev, all and targets");
   NameList list;
-  list.revision = v["rev"].asInt64(), list.whole = v["all"].asBool();
+  list.revision = v["rev"].asInt64();
+  list.whole = v["all"].asBool();
   for (const Json::Value& t : v["targets"]) {
     Listed l;
     l.uid = json_text(t, "uid");
@@ -340,7 +348,8 @@
       auto i = index_of(names, text(name));
       return i ? static_cast<int>(*i) : -1;
     };
-    l.entry.zone = index(words.zones, "az"), l.entry.kind = index(words.kinds, "model");
+    l.entry.zone = index(words.zones, "az");
+    l.entry.kind = index(words.kinds, "model");
     l.entry.cell = static_cast<int>(std::clamp(number("pod_group", 0), -1e9, 1e9));
     l.entry.size = number("capacity_hint", 1);
     double boot = number("boot_ms", 0);
@@ -354,9 +363,10 @@
 std::string write_watch(std::optional<std::int64_t> after, Duration wait,
                         const std::string& address) {
   std::string target = "/v1/endpoints";
-  if (after)
+  if (after) {
     target += "?index=" + std::to_string(*after) +
               "&wait=" + std::to_string(static_cast<std::int64_t>(wait.count()));
+  }
   return write_request("GET", target, {{"Host", address}}, {});
 }
 
--- a/src/protocol/messages.h
+++ b/src/protocol/messages.h
@@ -22,7 +22,11 @@
 
 // What the settings call things, in the order of the module's indices.
 struct Vocabulary {
-  std::vector<std::string> classes, tenants, zones, kinds, report_columns;
+  std::vector<std::string> classes;
+  std::vector<std::string> tenants;
+  std::vector<std::string> zones;
+  std::vector<std::string> kinds;
+  std::vector<std::string> report_columns;
   std::vector<bool> keyed;                      // by class
   std::vector<bool> dropped;                    // by class: new settings name it no more
   std::vector<stagehinge::Duration> deadlines;  // by class
@@ -41,8 +45,11 @@
 
 struct ClientCommand {
   stagehinge::Request request;
-  std::string id, target, key, body;  // as they came: they pass on unchanged
-  Headers fields;                     // of a streamed one, on its content
+  std::string id;
+  std::string target;
+  std::string key;
+  std::string body;  // as they came: they pass on unchanged
+  Headers fields;    // of a streamed one, on its content
 };
 stagehinge::RequestId read_id(std::string_view text);  // sixteen hex digits; throws Refused
 bool is_command_path(std::string_view target);
@@ -70,7 +77,8 @@
 struct News {
   enum class What { Started, Progress, Done, Failed, Returned, Lost };
   stagehinge::RequestId id = 0;
-  std::string from, result;
+  std::string from;
+  std::string result;
   What what = What::Started;
   stagehinge::LoadReport report;
 };
@@ -79,7 +87,8 @@
 // ---- The name table ----
 
 struct Listed {
-  std::string uid, address;
+  std::string uid;
+  std::string address;
   stagehinge::WorkerEntry entry;  // but for its name
 };
 struct NameList {
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -75,8 +75,11 @@
   if (by_id_.contains(n.request.id) || elsewhere_.contains(n.request.id))
     return Taking::Duplicate;
   Command c;
-  c.id = n.request.id, c.job_class = n.request.job_class, c.most_attempts = settings_.max_attempts,
-  c.cargo = std::move(n.cargo), c.ends = clock_.now() + n.request.patience + n.request.transfer;
+  c.id = n.request.id;
+  c.job_class = n.request.job_class;
+  c.most_attempts = settings_.max_attempts;
+  c.cargo = std::move(n.cargo);
+  c.ends = clock_.now() + n.request.patience + n.request.transfer;
   std::optional<CommandRef> ref = table_.insert(std::move(c));
   if (!ref)
     return count_nack(n.request.job_class), Taking::Full;
@@ -194,9 +197,10 @@
 
 std::vector<CommandRef> Router::open_refs() const {
   std::vector<CommandRef> open;
-  for (CommandRef ref : table_.refs())
+  for (CommandRef ref : table_.refs()) {
     if (!table_.find(ref)->answered)
       open.push_back(ref);
+  }
   return open;
 }
 
@@ -318,8 +322,10 @@
   // learns it as the simulator told it.
   bool sent = !c->answered && clock_.now() < c->ends && attempt < c->most_attempts && !spent(*c);
   c->attempts.push_back({instance, sent});
-  if (sent)
-    note("sent", a.id, attempt, instance), count(instance, 1);
+  if (sent) {
+    note("sent", a.id, attempt, instance);
+    count(instance, 1);
+  }
   if (sent)
     return ports_.instances.submit({ref, attempt}, instance, c->cargo, c->ends);
   post([=, this, id = a.id, final = c->answered] {
@@ -338,10 +344,11 @@
   // refusal.
   bool refused = a.kind == ActionKind::Reject || !may_have_run(ref, *c);
   note("answered", a.id, -1, refused ? "nack" : "failed");
-  if (refused)
+  if (refused) {
     nack(ref, *c, a.retry_after);
-  else
+  } else {
     fail(ref, *c);
+  }
   // Later, as the module's cancels of this command's attempts follow among the same actions.
   post([this, ref] {
     if (Command* done = table_.find(ref))
@@ -350,17 +357,19 @@
 }
 
 bool Router::may_have_run(CommandRef ref, const Command& c) const {
-  for (int i = 0; i < std::ssize(c.attempts); ++i)
+  for (int i = 0; i < std::ssize(c.attempts); ++i) {
     if (c.attempts[i].ran || (c.attempts[i].open && ports_.instances.begun({ref, i})))
       return true;
+  }
   return false;
 }
 
 void Router::answer_unserved(CommandRef ref, Command& c) {
-  if (may_have_run(ref, c))
+  if (may_have_run(ref, c)) {
     fail(ref, c);
-  else
+  } else {
     nack(ref, c, Duration(0));
+  }
 }
 
 void Router::cancel(const Action& a) {
@@ -417,16 +426,21 @@
                      (outcome == Outcome::Withdrawn && !whole);
   c.answered = true;
   --open_;
-  if (never_began)
+  if (never_began) {
     nack(ref, c, Duration(0));
-  else
+  } else {
     fail(ref, c);
+  }
 }
 
 void Router::tell_end(stagehinge::RequestId id, int attempt, bool final,
                       const std::string& instance, Outcome outcome, const LoadReport& report) {
   stagehinge::AttemptEnd e;
-  e.id = id, e.attempt = attempt, e.final = final, e.worker = instance, e.outcome = outcome,
+  e.id = id;
+  e.attempt = attempt;
+  e.final = final;
+  e.worker = instance;
+  e.outcome = outcome;
   e.report = report;
   std::vector<Action> actions;
   dispatcher_->on_attempt_end(clock_.now(), e, actions);
@@ -439,19 +453,21 @@
 void Router::time_up(CommandRef ref) {
   post([this, ref] {
     Command* c = table_.find(ref);
-    for (int i = 0; c && i < std::ssize(c->attempts); c = table_.find(ref), ++i)
+    for (int i = 0; c && i < std::ssize(c->attempts); c = table_.find(ref), ++i) {
       if (c && c->attempts[i].open) {
         // An upload that is still on its way says nothing of its instance, which must not wait for
         // the rest.
         bool unfinished = c->cargo->upload && !c->cargo->upload->taken_all();
         bool begun = !unfinished && ports_.instances.begun({ref, i});
-        if (begun)
+        if (begun) {
           ports_.instances.settled({ref, i});
-        else
+        } else {
           ports_.instances.withdraw({ref, i});  // its connection could still come up
+        }
         Outcome end = unfinished ? Outcome::Withdrawn : begun ? Outcome::TimedOut : Outcome::Void;
         end_attempt({ref, i}, end, {}, {});
       }
+    }
     post([this, ref] {
       Command* late = table_.find(ref);
       if (!late || late->answered)
@@ -469,21 +485,25 @@
 void Router::close_answered(CommandRef ref, Command& c) {
   if (!c.answered)
     return;
-  for (int i = 0; i < std::ssize(c.attempts); ++i)
+  for (int i = 0; i < std::ssize(c.attempts); ++i) {
     if (c.attempts[i].open && !ports_.instances.begun({ref, i})) {
       ports_.instances.withdraw({ref, i});
       return end_attempt({ref, i}, Outcome::Void, {}, {});  // which comes back here
     }
-  for (const Attempt& a : c.attempts)
+  }
+  for (const Attempt& a : c.attempts) {
     if (a.open)
       return;
+  }
   deadlines_.drop(c.deadline);
   // Its number finds nothing from now on, but the id stays known for a while: each command has a
   // new one, and whoever uses one again while its first bearer has just ended must not have that
   // run a second time.
   ended_.push_back(c.id);
-  if (ended_.size() > kEndedKept)
-    by_id_.erase(ended_.front()), ended_.pop_front();
+  if (ended_.size() > kEndedKept) {
+    by_id_.erase(ended_.front());
+    ended_.pop_front();
+  }
   table_.erase(ref);
 }
 
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -23,7 +23,8 @@
 struct Progress {  // what an instance tells of a job by its own call
   stagehinge::RequestId id = 0;
   std::string instance;
-  bool started = false, progress = false;  // else it has ended
+  bool started = false;
+  bool progress = false;  // else it has ended
   stagehinge::Outcome outcome = stagehinge::Outcome::Failure;
   stagehinge::LoadReport report;
   std::string result;
@@ -97,7 +98,8 @@
  private:
   struct Attempt {
     std::string instance;
-    bool open = true, ran = false;  // ran: it has ended so that it may have
+    bool open = true;
+    bool ran = false;  // ran: it has ended so that it may have
   };
   struct Command {
     stagehinge::RequestId id = 0;
@@ -140,7 +142,8 @@
   transport::Deadlines& deadlines_;
   Ports ports_;
   operations::Figures& figures_;
-  Log log_, trace_;
+  Log log_;
+  Log trace_;
   mutable transport::SlotTable<Command> table_;
   std::unordered_map<stagehinge::RequestId, CommandRef>
       by_id_;  // also of commands that ended a moment ago
--- a/src/settings/faults.h
+++ b/src/settings/faults.h
@@ -24,7 +24,8 @@
   const std::string& text() const { return text_; }
 
  private:
-  std::string name_, text_;
+  std::string name_;
+  std::string text_;
 };
 
 }  // namespace oatledge::settings
--- a/src/settings/permits.h
+++ b/src/settings/permits.h
@@ -11,9 +11,10 @@
 
 // Of the configuration beside the settings.
 struct Place {
-  std::size_t sockets = 0, memory_mb = 0;
-  bool peers_allowed = false,
-       listens = false;       // messages between dispatchers: permitted; an address is given
+  std::size_t sockets = 0;
+  std::size_t memory_mb = 0;
+  bool peers_allowed = false;
+  bool listens = false;       // messages between dispatchers: permitted; an address is given
   std::size_t peers = 0;      // addresses of dispatchers, our own among them
   std::size_t most_open = 0;  // orders; 0: no limit is named
 };
--- a/src/settings/reader.h
+++ b/src/settings/reader.h
@@ -30,7 +30,8 @@
 
 // What the columns x0 and x1 of a load report mean on this site.
 struct Columns {
-  bool x0_is_free_slots = false, x1_is_free_memory = false;
+  bool x0_is_free_slots = false;
+  bool x1_is_free_memory = false;
 };
 
 inline stagehinge::LoadReport read_report(std::string_view pairs, const Columns& columns) {
@@ -42,7 +43,8 @@
     std::size_t colon = pair.find(':');
     if (colon == std::string_view::npos)
       throw Malformed("a load report's pair has no colon");
-    std::string_view name = pair.substr(0, colon), value = pair.substr(colon + 1);
+    std::string_view name = pair.substr(0, colon);
+    std::string_view value = pair.substr(colon + 1);
     std::optional<double>* field = name == "rif"                               ? &report.inflight
                                    : name == "q"                               ? &report.queue
                                    : name == "busy"                            ? &report.busy
@@ -114,7 +116,8 @@
   auto at = static_cast<std::size_t>(index);
   ClassSettings c;
   c.name = in.text(lane + "Name");
-  std::string_view effect = in.text(lane + "Effect"), group = in.text(lane + "Group");
+  std::string_view effect = in.text(lane + "Effect");
+  std::string_view group = in.text(lane + "Group");
   c.effect = effect == "safe" ? Effect::Safe : effect == "keyed" ? Effect::Keyed : Effect::Unsafe;
   c.group = group == "all" ? Group::All : group == "zone" ? Group::Zone : Group::Cell;
   c.memory_span = in.time(lane + "MemorySpanMs");
--- a/src/simhost/host.h
+++ b/src/simhost/host.h
@@ -153,9 +153,10 @@
       static const std::vector<stagehinge::WorkerEntry> none;
       bool error = *kind == stagehinge::ListKind::Error;
       entries_.clear();
-      if (!error)
+      if (!error) {
         for (const Row& row : pages_.at(f.integer<std::size_t>(0, pages_.size() - 1)))
           entries_.push_back(row.entry());
+      }
       d.on_list(now_, *kind, error ? none : entries_, actions_);
       if (host_->loads && !error)
         listed(*kind);
@@ -204,8 +205,10 @@
     for (const std::string& w : moved_)
       host_->loads->have(now_, w, host_->have[w]);
     moved_.clear();
-    for (const auto& m : host_->loads->due(now_))
-      speak_for(), write_message(m.to, m.bytes, reply_);
+    for (const auto& m : host_->loads->due(now_)) {
+      speak_for();
+      write_message(m.to, m.bytes, reply_);
+    }
   }
 
   void flush_actions() {
@@ -220,8 +223,11 @@
   }
 
   void speak_for() {
-    if (!std::exchange(named_, true))
-      reply_ += "ON_BEHALF ", reply_ += who_, reply_ += '\n';
+    if (!std::exchange(named_, true)) {
+      reply_ += "ON_BEHALF ";
+      reply_ += who_;
+      reply_ += '\n';
+    }
   }
 
   std::unordered_map<std::string, Instance> instances_;
@@ -232,9 +238,12 @@
   std::vector<stagehinge::Action> actions_;
   std::vector<std::string> moved_;  // workers at which this event changed the number of own jobs
   stagehinge::Time now_{};
-  std::string batch_, who_, reply_;
+  std::string batch_;
+  std::string who_;
+  std::string reply_;
   Instance* host_ = nullptr;
-  bool in_batch_ = false, named_ = false;
+  bool in_batch_ = false;
+  bool named_ = false;
 };
 
 }  // namespace simhost
--- a/src/simhost/wire.h
+++ b/src/simhost/wire.h
@@ -172,8 +172,10 @@
 
 inline void write_message(int to, std::string_view bytes, std::string& out) {
   out += "BROADCAST_TO " + std::to_string(to) + ' ';
-  for (unsigned char c : bytes)
-    out += "0123456789abcdef"[c >> 4], out += "0123456789abcdef"[c & 15];
+  for (unsigned char c : bytes) {
+    out += "0123456789abcdef"[c >> 4];
+    out += "0123456789abcdef"[c & 15];
+  }
   out += '\n';
 }
 
--- a/src/state.h
+++ b/src/state.h
@@ -27,7 +27,9 @@
   RequestId id;
   int attempt;
   std::size_t job_class;
-  double work, slots, memory;
+  double work;
+  double slots;
+  double memory;
   Time sent;
   std::optional<Time> started;
   Time heard;  // latest sign of this attempt
@@ -84,10 +86,14 @@
 
 struct Attempt {
   Worker* worker;
-  Time sent, since;  // since: the first send of those that may have run then; the memory span
-                     // counts from it
-  int zone, cell;    // of the worker, as listed at the send
-  bool open = true, may_have_run = true, started = false;
+  Time sent;
+  Time since;  // since: the first send of those that may have run then; the memory span
+               // counts from it
+  int zone;
+  int cell;  // of the worker, as listed at the send
+  bool open = true;
+  bool may_have_run = true;
+  bool started = false;
 };
 
 using Turn = std::pair<double, Time>;  // of a held job, the least first
@@ -107,11 +113,13 @@
   double load() const { return work * request.slots; }  // slot-weighted work
   std::optional<Turn> held_key;
   std::vector<Worker*> asked;  // for their load, before the job goes
-  int awaited = 0, rounds = 0;
+  int awaited = 0;
+  int rounds = 0;
 };
 
 struct ClassStats {  // of the jobs of a class
-  double mean_work = 100, jobs = 0;
+  double mean_work = 100;
+  double jobs = 0;
   double learn(double work) {
     return mean_work += (work - mean_work) * std::max(0.05, 1.0 / ++jobs);
   }
@@ -135,7 +143,8 @@
 };
 
 struct Tenant {
-  double quota = 0, left = 0;  // left: what its share still holds at this dispatcher, in requests
+  double quota = 0;
+  double left = 0;  // left: what its share still holds at this dispatcher, in requests
   Time at{};
   Recent recent = {};
 };
--- a/src/streaming/budget.cpp
+++ b/src/streaming/budget.cpp
@@ -29,8 +29,8 @@
 // once is the largest k for which h + k - 1 < f - (k - 1): each one taken leaves one less free.
 std::size_t Budget::Lane::may_take() const {
   std::size_t own = held_ == 0 ? 1 : 0;  // owned from the start
-  std::size_t held = held_ + own,
-              free = budget_->total_ - std::min(budget_->total_, budget_->used_);
+  std::size_t held = held_ + own;
+  std::size_t free = budget_->total_ - std::min(budget_->total_, budget_->used_);
   std::size_t beyond = free > held ? (free - held + 1) / 2 : 0;
   return own + std::min(beyond, budget_->window_ - std::min(budget_->window_, held));
 }
--- a/src/streaming/budget.h
+++ b/src/streaming/budget.h
@@ -59,8 +59,10 @@
  private:
   void use(std::size_t chunks);
 
-  std::size_t total_, window_;
-  std::size_t used_ = 0, most_used_ = 0;
+  std::size_t total_;
+  std::size_t window_;
+  std::size_t used_ = 0;
+  std::size_t most_used_ = 0;
 };
 
 }  // namespace oatledge::streaming
--- a/src/streaming/pipe.h
+++ b/src/streaming/pipe.h
@@ -67,8 +67,12 @@
   std::size_t replay_bytes_;
   std::deque<std::shared_ptr<Chunk>> chunks_;
   std::uint64_t base_ = 0;  // of the first chunk's first byte; a multiple of kChunk
-  std::uint64_t appended_ = 0, taken_ = 0, written_ = 0;
-  bool wanted_ = false, let_go_ = false, abandoned_ = false;
+  std::uint64_t appended_ = 0;
+  std::uint64_t taken_ = 0;
+  std::uint64_t written_ = 0;
+  bool wanted_ = false;
+  bool let_go_ = false;
+  bool abandoned_ = false;
   End end_ = End::Open;
 };
 
--- a/src/transport/address.h
+++ b/src/transport/address.h
@@ -12,7 +12,8 @@
   std::size_t colon = text.rfind(':');
   if (colon == std::string::npos)
     return nullptr;
-  std::string host = text.substr(0, colon), port = text.substr(colon + 1);
+  std::string host = text.substr(0, colon);
+  std::string port = text.substr(colon + 1);
   guint64 number = 0;
   if (!g_ascii_string_to_unsigned(port.c_str(), 10, 1, 65535, &number, nullptr))
     return nullptr;
--- a/src/transport/buffer.h
+++ b/src/transport/buffer.h
@@ -72,7 +72,8 @@
   }
 
  private:
-  static constexpr std::size_t kSmall = 4 << 10, kGone = 64;
+  static constexpr std::size_t kSmall = 4 << 10;
+  static constexpr std::size_t kGone = 64;
   struct Part {
     std::string* text;  // one that only this buffer holds, and that may grow; else none
     std::shared_ptr<const void> owner;
@@ -80,7 +81,8 @@
   };
   std::vector<Part>
       parts_;  // no deque: an empty one owns memory, and most connections have nothing waiting
-  std::size_t first_ = 0, size_ = 0;
+  std::size_t first_ = 0;
+  std::size_t size_ = 0;
 };
 
 }  // namespace oatledge::transport
