--- a/src/transport/datagrams.cpp
+++ b/src/transport/datagrams.cpp
@@ -76,8 +76,10 @@
 }
 
 void Datagrams::send(const std::string& to, std::string_view bytes) {
-  if (to != to_)
-    peer_ = parse_address(to), to_ = to;
+  if (to != to_) {
+    peer_ = parse_address(to);
+    to_ = to;
+  }
   if (peer_)
     g_socket_send_to(socket_.get(), peer_.get(), bytes.data(), bytes.size(), nullptr, nullptr);
 }
--- a/src/transport/descriptor.h
+++ b/src/transport/descriptor.h
@@ -14,8 +14,10 @@
   explicit Descriptor(int fd) : fd_(fd) {}
   Descriptor(Descriptor&& other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
   Descriptor& operator=(Descriptor&& other) noexcept {
-    if (this != &other)
-      reset(), fd_ = std::exchange(other.fd_, -1);
+    if (this != &other) {
+      reset();
+      fd_ = std::exchange(other.fd_, -1);
+    }
     return *this;
   }
   ~Descriptor() { reset(); }
--- a/src/transport/gio_network.cpp
+++ b/src/transport/gio_network.cpp
@@ -182,7 +182,9 @@
   g_socket_set_blocking(socket.get(), FALSE);
   no_delay(socket.get());
   Connection c;
-  c.socket = std::move(socket), c.handler = acceptor_, c.accepted = true;
+  c.socket = std::move(socket);
+  c.handler = acceptor_;
+  c.accepted = true;
   std::optional<SlotRef> ref = table_.insert(std::move(c));
   if (!ref)
     return std::nullopt;
@@ -237,7 +239,8 @@
     return std::nullopt;
   }
   no_delay(c.socket.get());
-  c.handler = &handler, c.state = State::Connecting;
+  c.handler = &handler;
+  c.state = State::Connecting;
   if (urgency == Urgency::High)
     c.high = true;
   bool up = g_socket_connect(c.socket.get(), where.get(), nullptr, error.out());
@@ -249,10 +252,11 @@
   Connection& kept = *table_.find(*ref);
   // A refusal on the spot is told in the next turn: a handler is never called from inside its own
   // call.
-  if (failed)
+  if (failed) {
     kept.end = deadlines_.add(clock_.now(), [this, r = *ref] { broken(r); });
-  else
+  } else {
     watch(*ref, kept);
+  }
   return ref;
 }
 
@@ -273,7 +277,8 @@
   epoll_event event{wanted, {.u64 = label}};
   int what = wanted == 0 ? EPOLL_CTL_DEL : c.interest == 0 ? EPOLL_CTL_ADD : EPOLL_CTL_MOD;
   epoll_ctl(poll_, what, g_socket_get_fd(c.socket.get()), &event);
-  c.interest = wanted, c.label = label;
+  c.interest = wanted;
+  c.label = label;
 }
 
 gboolean GioNetwork::ready(gint, GIOCondition, gpointer data) {
@@ -286,7 +291,7 @@
 // nothing.
 void GioNetwork::serve_ready() {
   int n = epoll_wait(poll_, ready_.data(), static_cast<int>(ready_.size()), 0);
-  for (std::uint64_t order : {0, 1, 2})
+  for (std::uint64_t order : {0, 1, 2}) {
     for (int i = 0; i < n; ++i) {
       std::uint64_t label = ready_[static_cast<std::size_t>(i)].data.u64;
       if ((label & 3) != order)
@@ -294,6 +299,7 @@
       SlotRef ref{static_cast<std::uint32_t>(label) >> 2, static_cast<std::uint32_t>(label >> 32)};
       serve(ref, ready_[static_cast<std::size_t>(i)].events);
     }
+  }
 }
 
 void GioNetwork::serve(SlotRef ref, std::uint32_t events) {
@@ -304,7 +310,9 @@
   bool writing = c->state == State::Connecting || ((events & EPOLLOUT) != 0 && !c->unsent.empty());
   bool reading = (events & EPOLLIN) != 0 || hung;
   if (c->bulk && c->state != State::Connecting) {
-    c->may_write |= writing, c->may_read |= reading, c->hung |= hung;
+    c->may_write |= writing;
+    c->may_read |= reading;
+    c->hung |= hung;
     if (!std::exchange(c->queued, true))
       bulk_.push_back(ref);
     return;
@@ -316,12 +324,13 @@
   if (connecting || (!reading && (events & EPOLLRDHUP) == 0))
     return;
   c = table_.find(ref);
-  if (c && c->held && hung)
+  if (c && c->held && hung) {
     broken(ref);  // no input is asked for: it can only have been reset
-  else if (c && !c->held)
+  } else if (c && !c->held) {
     on_readable(ref, kReadATurn);
-  else if (c && c->ends_unread && (events & EPOLLRDHUP) != 0)
+  } else if (c && c->ends_unread && (events & EPOLLRDHUP) != 0) {
     broken(ref);
+  }
 }
 
 // Guards ordinary messages against long bodies: fairness is in bytes. Whoever is ready is served in
@@ -343,10 +352,11 @@
     if (c && std::exchange(c->more, false) && c->state == State::Open)
       c->handler->on_written(ref);
     c = table_.find(ref);
-    if (c && c->held && c->hung)
+    if (c && c->held && c->hung) {
       broken(ref);
-    else if (c && read && !c->held)
+    } else if (c && read && !c->held) {
       spent += on_readable(ref, kReadATurn);
+    }
     spent += written_ - before;
   }
   return !bulk_.empty();
--- a/src/transport/gio_network.h
+++ b/src/transport/gio_network.h
@@ -61,12 +61,15 @@
   struct Connection {
     ObjectPtr<GSocket> socket;
     ConnectionHandler* handler = nullptr;
-    bool accepted = false, held = false;
+    bool accepted = false;
+    bool held = false;
     bool ends_unread = false;  // its end is told although what came before that has not been read
-    bool bulk = false, may_read = false,
-         may_write = false;             // the latter two: of a bulk one, seen by poll
-    bool queued = false, more = false;  // in bulk_
-    std::size_t granted = SIZE_MAX;     // bytes that on_bytes() may still bring
+    bool bulk = false;
+    bool may_read = false;
+    bool may_write = false;  // the latter two: of a bulk one, seen by poll
+    bool queued = false;
+    bool more = false;               // in bulk_
+    std::size_t granted = SIZE_MAX;  // bytes that on_bytes() may still bring
     State state = State::Open;
     bool high = false;
     OutBuffer unsent;
@@ -100,7 +103,8 @@
   Limits limits_;
   Complain complain_;
   SlotTable<Connection> table_;
-  std::size_t accepted_ = 0, connected_ = 0;
+  std::size_t accepted_ = 0;
+  std::size_t connected_ = 0;
   std::vector<char> scratch_;      // what is read lies here while a handler looks at it
   std::size_t written_ = 0;        // bytes, ever; what they grow by is what a turn has cost
   std::deque<SlotRef> bulk_;       // those that are ready, the longest waiting first
--- a/src/transport/local_link.cpp
+++ b/src/transport/local_link.cpp
@@ -46,7 +46,8 @@
   std::string bytes(kMostPacket, '\0');
   GInputVector vector{bytes.data(), bytes.size()};
   GSocketControlMessage** controls = nullptr;
-  gint count = 0, flags = 0;
+  gint count = 0;
+  gint flags = 0;
   Error error;
   gssize n = g_socket_receive_message(socket, nullptr, &vector, 1, &controls, &count, &flags,
                                       nullptr, error.out());
@@ -80,9 +81,10 @@
   Error error;
   if (!packet.descriptors.empty()) {
     descriptors.reset(g_unix_fd_message_new());
-    for (const Descriptor& d : packet.descriptors)
+    for (const Descriptor& d : packet.descriptors) {
       if (!g_unix_fd_message_append_fd(G_UNIX_FD_MESSAGE(descriptors.get()), d.get(), error.out()))
         return Put::Failed;
+    }
   }
   GSocketControlMessage* message = descriptors.get();
   gssize n = g_socket_send_message(socket, nullptr, &vector, 1, message ? &message : nullptr,
@@ -132,10 +134,11 @@
 
 gboolean LocalLink::ready(GSocket*, GIOCondition condition, gpointer data) {
   auto* link = static_cast<LocalLink*>(data);
-  if ((condition & G_IO_OUT) != 0)
+  if ((condition & G_IO_OUT) != 0) {
     link->flush();
-  else
+  } else {
     link->read_some();
+  }
   return G_SOURCE_CONTINUE;
 }
 
@@ -178,7 +181,8 @@
 }
 
 void LocalLink::hang_up() {
-  reads_.reset(), writes_.reset();
+  reads_.reset();
+  writes_.reset();
   socket_.reset();
   waiting_.clear();
 }
--- a/src/transport/local_link.h
+++ b/src/transport/local_link.h
@@ -49,7 +49,8 @@
   Received received_;
   Ended ended_;
   std::deque<Packet> waiting_;
-  SourcePtr reads_, writes_;
+  SourcePtr reads_;
+  SourcePtr writes_;
 };
 
 // Listens at a path, which it takes over from whoever bound it before; a file that is no socket is
--- a/src/transport/slots.h
+++ b/src/transport/slots.h
@@ -58,9 +58,32 @@
   }
   std::vector<SlotRef> refs() const {
     std::vector<SlotRef> all;
-    for (std::uint32_t i = 0; i < entries_.size(); ++i)
-      if (entries_[i].value)
-        all.push_back({i, entries_[i].generation});
+    for (std::uint32_t i = 0; i < entries_.size(); ++i) {
+      {
+        {
+          {
+            {
+              {
+                {
+                  {
+                    {
+                      {
+                        {
+                          {
+                            if (entries_[i].value)
+                              all.push_back({i, entries_[i].generation});
+                          }
+                        }
+                      }
+                    }
+                  }
+                }
+              }
+            }
+          }
+        }
+      }
+    }
     return all;
   }
 
@@ -69,7 +92,8 @@
     std::uint32_t generation = 0;
     std::optional<T> value;
   };
-  std::size_t capacity_, used_ = 0;
+  std::size_t capacity_;
+  std::size_t used_ = 0;
   std::deque<Entry>
       entries_;  // a deque: what find() gave stays where it is while others are inserted
   std::vector<std::uint32_t> free_;
--- a/tests/budget_test.cpp
+++ b/tests/budget_test.cpp
@@ -8,7 +8,9 @@
 
 Settings budget(double free, double share, double window) {
   Settings s = settings();
-  s.budget_free = free, s.extra_per_request = share, s.extra_window = Duration(window);
+  s.budget_free = free;
+  s.extra_per_request = share;
+  s.extra_window = Duration(window);
   s.max_attempts = 20;
   return s;
 }
--- a/tests/cutoff_test.cpp
+++ b/tests/cutoff_test.cpp
@@ -19,13 +19,20 @@
 // common factor.
 double slowdown(const std::vector<double>& jobs, double low, double high, double load,
                 double share) {
-  double all = 0, n = 0, work = 0, square = 0, inverse = 0;
+  double all = 0;
+  double n = 0;
+  double work = 0;
+  double square = 0;
+  double inverse = 0;
   for (double x : jobs) {
     all += x;
     if (x < low || x >= high)
       continue;
     double service = x / share;
-    n += 1, work += x, square += service * service, inverse += 1 / service;
+    n += 1;
+    work += x;
+    square += service * service;
+    inverse += 1 / service;
   }
   double rho = load * work / all / share;
   return rho < 1 ? n * (square / n) / (2 * (1 - rho)) * (inverse / n) : INFINITY;
@@ -34,7 +41,8 @@
 std::vector<double> bounded_pareto(std::size_t n, double alpha, double low, double high) {
   std::vector<double> jobs;  // by quantiles: no chance involved
   for (std::size_t i = 0; i < n; ++i) {
-    double u = (i + 0.5) / n, ratio = std::pow(low / high, alpha);
+    double u = (i + 0.5) / n;
+    double ratio = std::pow(low / high, alpha);
     jobs.push_back(low / std::pow(1 - u * (1 - ratio), 1 / alpha));
   }
   return jobs;
@@ -43,12 +51,12 @@
 // The fair cutoff by bisection on the raw jobs: slowdown of short ones grows with it, of long ones
 // falls.
 double fair_by_bisection(const std::vector<double>& jobs, double load, double share) {
-  double low = *std::min_element(jobs.begin(), jobs.end()),
-         high = *std::max_element(jobs.begin(), jobs.end());
+  double low = *std::min_element(jobs.begin(), jobs.end());
+  double high = *std::max_element(jobs.begin(), jobs.end());
   for (int i = 0; i < 100; ++i) {
     double middle = std::sqrt(low * high);
-    double shorts = slowdown(jobs, 0, middle, load, share),
-           longs = slowdown(jobs, middle, 1e18, load, 1 - share);
+    double shorts = slowdown(jobs, 0, middle, load, share);
+    double longs = slowdown(jobs, middle, 1e18, load, 1 - share);
     (shorts < longs ? low : high) = middle;
   }
   return low;
@@ -84,9 +92,13 @@
 
 TEST(Cutoff, RuleOfThumbSendsHalfTheLoadsFractionShort) {
   auto jobs = bounded_pareto(4000, 1.2, 10, 100000);
-  double cutoff = histogram_of(jobs).rule_of_thumb_cutoff(0.6), below = 0, all = 0;
-  for (double x : jobs)
-    all += x, below += x < cutoff ? x : 0;
+  double cutoff = histogram_of(jobs).rule_of_thumb_cutoff(0.6);
+  double below = 0;
+  double all = 0;
+  for (double x : jobs) {
+    all += x;
+    below += x < cutoff ? x : 0;
+  }
   EXPECT_NEAR(below / all, 0.3, 0.05);
 }
 
--- a/tests/dispatcher_test.cpp
+++ b/tests/dispatcher_test.cpp
@@ -105,7 +105,8 @@
   set.classes[0].kind = 1;
   set.reports = ReportMode::Inline;
   Scene s(set);
-  WorkerEntry other = s.worker("a"), tied = s.worker("b");
+  WorkerEntry other = s.worker("a");
+  WorkerEntry tied = s.worker("b");
   tied.kind = 1;
   s.list({other, tied});
   for (RequestId id = 1; id <= 2; ++id) {
@@ -157,8 +158,10 @@
 TEST(Hold, WhoIsWorthMostForItsWorkGoesFirstAndWhoIsLateByWhatIsLeft) {
   Settings set = settings(Effect::Unsafe);
   set.classes.push_back(set.classes[0]);
-  set.classes[0].late_worth = 0.2, set.classes[1].late_worth = 0.3;
-  set.classes[1].worth = 10, set.classes[1].aim = Duration(800);
+  set.classes[0].late_worth = 0.2;
+  set.classes[1].late_worth = 0.3;
+  set.classes[1].worth = 10;
+  set.classes[1].aim = Duration(800);
   Scene s(set);
   s.list({s.worker("a")});
   ASSERT_NO_FATAL_FAILURE(s.fill("a", 5000));
@@ -247,8 +250,10 @@
   set.reports = ReportMode::Inline;
   Scene s(set);
   s.list({s.worker("a"), s.worker("b")});
-  LoadReport busy, idle;
-  busy.free_slots = 0, idle.free_slots = 2;
+  LoadReport busy;
+  LoadReport idle;
+  busy.free_slots = 0;
+  idle.free_slots = 2;
   for (RequestId id : {1, 2, 3, 4}) {
     s.request(id, 50);
     std::string w = s.sent_to(id);
@@ -301,7 +306,8 @@
 // else needs.
 TEST(Shares, AJobBeyondItsTenantsShareLeavesASlotFree) {
   Settings set = settings();
-  set.tenant_quotas = {2, 2}, set.over_share_worth = 0.05;
+  set.tenant_quotas = {2, 2};
+  set.over_share_worth = 0.05;
   Scene s(set);
   s.list({s.worker("a")});
   for (RequestId id = 1; id <= 4; ++id) {  // its share of two seconds at once
@@ -330,7 +336,9 @@
   auto held =
       [](bool all_tenants) {  // jobs that had to wait when traffic became three times as much
         Settings set = settings();
-        set.tenant_quotas = {2, 2, 2}, set.over_share_worth = 0.05, set.balancers = 2;
+        set.tenant_quotas = {2, 2, 2};
+        set.over_share_worth = 0.05;
+        set.balancers = 2;
         Scene s(set);
         s.list({s.worker("a")});
         s.request(1, 100000, 200000);  // keeps one of the two slots
@@ -348,10 +356,11 @@
             s.request(++id, 10, 50, 1, tenant);
             bool sent = !s.sent_to(id).empty();
             waiting += step >= 180 && !sent;
-            if (sent)
+            if (sent) {
               s.end(id, 0, Outcome::Success, true);
-            else
+            } else {
               s.dispatcher_.on_client_gone(s.now, id, s.actions);
+            }
           }
         }
         return waiting;
@@ -364,7 +373,8 @@
 // ones came before it.
 TEST(Shares, AHeavyJobMayBorrowFromItsTenants) {
   Settings set = settings();
-  set.tenant_quotas = {2, 2}, set.over_share_worth = 0.05;
+  set.tenant_quotas = {2, 2};
+  set.over_share_worth = 0.05;
   Scene s(set);
   s.list({s.worker("a")});
   for (RequestId id = 1; id <= 4; ++id) {  // its share of two seconds at once
@@ -381,7 +391,8 @@
 
 TEST(Shares, WithoutAQuotaThereIsNone) {
   Settings set = settings();
-  set.tenant_quotas = {2, 2, 2, 0}, set.over_share_worth = 0.05;
+  set.tenant_quotas = {2, 2, 2, 0};
+  set.over_share_worth = 0.05;
   Scene s(set);
   s.list({s.worker("a")});
   for (RequestId id = 1; id <= 20; ++id) {
@@ -477,7 +488,8 @@
 // What a worker's report says of errors, after two jobs that it served at once.
 LoadReport errors(double a_second) {
   LoadReport r;
-  r.free_slots = 2, r.fail_rate = a_second;
+  r.free_slots = 2;
+  r.fail_rate = a_second;
   return r;
 }
 
@@ -485,7 +497,8 @@
   Scene s(settings(Effect::Unsafe));
   s.list(entries(s, {"a", "b"}));
   s.request(1, 100);
-  std::string bad = s.sent_to(1), good = bad == "a" ? "b" : "a";
+  std::string bad = s.sent_to(1);
+  std::string good = bad == "a" ? "b" : "a";
   s.end(1, 0, Outcome::Success, true, errors(4));  // of some twenty that it could serve in a second
   for (RequestId id = 2; id < 4; ++id) {
     s.request(id, 100);
@@ -504,10 +517,11 @@
   s.list(entries(s, {"a", "b"}));
   for (RequestId id = 1; id <= 60; ++id) {
     s.request(id, 100);
-    if (s.sent_to(id).empty())
+    if (s.sent_to(id).empty()) {
       s.pass(2100);
-    else
+    } else {
       s.end(id, 0, Outcome::Success, true, errors(10));
+    }
   }
   s.request(100, 100);
   EXPECT_FALSE(s.sent_to(100).empty());
@@ -516,13 +530,15 @@
 std::string one_run(std::uint64_t seed) {
   Settings set = settings();
   set.seed = seed;
-  set.must_subscribe = true, set.must_ask_in = Duration(8000);
+  set.must_subscribe = true;
+  set.must_ask_in = Duration(8000);
   Scene s(set);
   std::ostringstream all;
   auto write = [&] {
-    for (const Action& a : s.actions)
+    for (const Action& a : s.actions) {
       all << static_cast<int>(a.kind) << ' ' << a.id << ' ' << a.worker << ' '
           << a.at.time_since_epoch().count() << '\n';
+    }
   };
   s.list(entries(s, names(6), 2), ListKind::Persisted);
   s.list({}, ListKind::Error);
@@ -530,8 +546,10 @@
   for (RequestId id = 1; id <= 40; ++id) {
     s.request(id * 7919, 10.0 + 13.0 * static_cast<double>(id % 7));
     write();
-    if (!s.sent_to(id * 7919).empty() && id % 3 == 0)
-      s.end(id * 7919, 0, Outcome::Success, true), write();
+    if (!s.sent_to(id * 7919).empty() && id % 3 == 0) {
+      s.end(id * 7919, 0, Outcome::Success, true);
+      write();
+    }
     s.pass(20);
     write();
   }
@@ -615,7 +633,8 @@
 // that stays at 100 ms has a fleet of 500 ms jobs refuse nearly all as hopeless.
 TEST(Hints, WithoutThemAClassCostsWhatItsEndsHaveShown) {
   Settings set = settings();
-  set.classes[0].aim = Duration(300), set.classes[0].stretch = 1.75;
+  set.classes[0].aim = Duration(300);
+  set.classes[0].stretch = 1.75;
   Scene s(set);
   s.list({s.worker("a")});
   for (RequestId id = 10; id < 16; ++id) {
@@ -644,8 +663,10 @@
   int sent = 0;
   for (RequestId id = 1; id < 6; ++id) {
     s.request(id, 0);
-    if (s.sent_to(id) == "a")
-      ++sent, s.started(id);
+    if (s.sent_to(id) == "a") {
+      ++sent;
+      s.started(id);
+    }
   }
   EXPECT_EQ(sent, 1);
 }
@@ -729,12 +750,13 @@
       for (const Action& a : s.of(ActionKind::Send))
         copies += a.id <= id ? 1 : 0;
     }
-    if (prompt)
+    if (prompt) {
       EXPECT_GE(copies, 4);
-    else if (reports == ReportMode::Off)
+    } else if (reports == ReportMode::Off) {
       EXPECT_LE(copies, 1);
-    else
+    } else {
       EXPECT_GE(copies, 3);
+    }
   }
 }
 
--- a/tests/effects_test.cpp
+++ b/tests/effects_test.cpp
@@ -8,7 +8,8 @@
 namespace stagehinge::testing {
 namespace {
 
-constexpr double kSpan = 5000, kConnect = 250;
+constexpr double kSpan = 5000;
+constexpr double kConnect = 250;
 constexpr double kLast =
     kSpan - 2 * kConnect - 2;  // a repeat this long after the first send is just too late
 
@@ -39,8 +40,10 @@
   void send_copy(double after) {
     until(after);
     list({worker("b")}, ListKind::Partial);
-    for (int i = 0; i < 1500 && copy_to.empty(); ++i)
-      pass(1), copy_to = sent_to(1);
+    for (int i = 0; i < 1500 && copy_to.empty(); ++i) {
+      pass(1);
+      copy_to = sent_to(1);
+    }
     ASSERT_EQ(copy_to, "b");
   }
   void end_as(int attempt, std::string_view named, Outcome outcome) {
@@ -57,8 +60,8 @@
 // has gone out. The group has known the key since the first send; the copy must not begin a span of
 // its own.
 TEST(MemorySpan, ACopySharesTheSpanOfAFirstThatIsHandedBackLater) {
-  for (Outcome proof : kProofs)
-    for (Outcome doubt : kDoubts)
+  for (Outcome proof : kProofs) {
+    for (Outcome doubt : kDoubts) {
       for (double at : {kLast - 1, kLast, kSpan + 10}) {
         Story s(patient(Effect::Keyed, Group::Zone));
         s.send_first();
@@ -73,6 +76,8 @@
         EXPECT_EQ(s.sent_to(1), at < kLast ? "c" : "") << at;
         EXPECT_TRUE(s.of(ActionKind::Reject).empty()) << "the copy may have run";
       }
+    }
+  }
 }
 
 TEST(MemorySpan, SoDoesACopyOfACopy) {
@@ -83,8 +88,10 @@
   s.end(1, 0, Outcome::Overloaded);
   s.until(3000);
   s.list({s.worker("c")}, ListKind::Partial);
-  for (int i = 0; i < 1500 && s.attempts[1] < 3; ++i)
-    s.pass(1), s.sent_to(1);
+  for (int i = 0; i < 1500 && s.attempts[1] < 3; ++i) {
+    s.pass(1);
+    s.sent_to(1);
+  }
   ASSERT_EQ(s.attempts[1], 3);
   s.list({s.worker("b", 0, 0, Readiness::Terminating)}, ListKind::Partial);
   s.end(1, 1, Outcome::Unreachable);
@@ -110,7 +117,7 @@
 }
 
 TEST(MemorySpan, ARepeatMustArriveWithinItAfterEveryOutcomeThatLeavesDoubt) {
-  for (Outcome doubt : kDoubts)
+  for (Outcome doubt : kDoubts) {
     for (double at : {kLast - 1, kLast}) {
       Story s(patient(Effect::Keyed, Group::All));
       s.send_first();
@@ -120,6 +127,7 @@
       s.end(1, 0, doubt);
       EXPECT_EQ(s.sent_to(1), at < kLast ? "b" : "") << at;
     }
+  }
 }
 
 TEST(MemorySpan, ACopyOfAnAttemptStillOutMustArriveWithinItToo) {
@@ -138,8 +146,8 @@
   const double inf = std::numeric_limits<double>::infinity();
   std::vector<std::optional<Duration>> timeouts{std::nullopt, Duration(-1), Duration(std::nan("")),
                                                 Duration(inf), Duration(kSpan / 2)};
-  for (auto timeout : timeouts)
-    for (Effect effect : {Effect::Keyed, Effect::Safe})
+  for (auto timeout : timeouts) {
+    for (Effect effect : {Effect::Keyed, Effect::Safe}) {
       for (Outcome outcome : {Outcome::Broken, Outcome::Overloaded}) {
         Settings set = patient(effect, Group::All);
         set.connect_timeout = timeout;
@@ -150,6 +158,8 @@
         bool relies = effect == Effect::Keyed && outcome == Outcome::Broken;
         EXPECT_EQ(s.sent_to(1), relies ? "" : "b");
       }
+    }
+  }
 }
 
 TEST(MemorySpan, AnAbsurdSpanIsNoneAtAll) {
@@ -186,7 +196,7 @@
 }
 
 TEST(EffectGroup, IsThatOfTheSendThoughTheListMovesTheWorkerLater) {
-  for (Group group : {Group::Zone, Group::Cell})
+  for (Group group : {Group::Zone, Group::Cell}) {
     for (int place : {0, 1}) {
       Story s(patient(Effect::Keyed, group));
       s.send_first();
@@ -194,10 +204,11 @@
       s.end(1, 0, Outcome::Broken);
       EXPECT_EQ(s.sent_to(1), place == 0 ? "b" : "");
     }
+  }
 }
 
 TEST(Proof, IsNoneAfterANoteOfAStartOrProgress) {
-  for (Outcome proof : kProofs)
+  for (Outcome proof : kProofs) {
     for (NoteKind kind : {NoteKind::Started, NoteKind::Progress}) {
       Story s(patient(Effect::Unsafe, Group::All));
       s.send_first();
@@ -207,6 +218,7 @@
       EXPECT_TRUE(s.silent());
       EXPECT_TRUE(s.answered(1, ActionKind::Fail));
     }
+  }
 }
 
 TEST(Proof, OfAnotherWorkersNameIsNone) {
@@ -231,7 +243,7 @@
 // The first of two ends in doubt; a second end of it that would prove something, or one under the
 // copy's name, changes nothing: the job may only go within the group, and is not refused.
 TEST(Proof, ComingAfterAnotherEndIsNone) {
-  for (Outcome proof : kProofs)
+  for (Outcome proof : kProofs) {
     for (Outcome doubt : kDoubts) {
       Story s(patient(Effect::Keyed, Group::Cell));
       s.send_first();
@@ -246,12 +258,13 @@
       EXPECT_TRUE(s.silent());
       EXPECT_TRUE(s.answered(1, ActionKind::Fail));
     }
+  }
 }
 
 // Held after the proof, since its only worker is full or down, the job is neither sent again nor
 // refused.
 TEST(Proof, IsTakenBackByALaterSignThatItRan) {
-  for (Outcome proof : {Outcome::Overloaded, Outcome::Unreachable})
+  for (Outcome proof : {Outcome::Overloaded, Outcome::Unreachable}) {
     for (int sign : {0, 1, 2}) {
       Story s(patient(Effect::Unsafe, Group::All));
       s.send_first();
@@ -270,6 +283,7 @@
       EXPECT_EQ(std::ranges::count(seen, ActionKind::Reject, &Action::kind), 0);
       EXPECT_EQ(std::ranges::count(seen, ActionKind::Fail, &Action::kind), 1);
     }
+  }
 }
 
 }  // namespace
--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -19,10 +19,11 @@
   worker.worker = "10.0.0.1:7000";
   dispatcher.on_list(now, ListKind::Complete, {worker}, actions);
   dispatcher.on_request(now, {.id = 1, .patience = Duration(5000), .hint = Duration(40)}, actions);
-  for (const Action& action : actions)
+  for (const Action& action : actions) {
     if (action.kind == ActionKind::Send) {
       std::cout << "send " << action.id << " to " << action.worker << '\n';
       return 0;
     }
+  }
   return 1;  // an idle worker was there
 }
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -10,7 +10,9 @@
 
 Settings one_of(int balancers, int index) {
   Settings s = settings(Effect::Unsafe);
-  s.balancers = balancers, s.index = index, s.seed = 1000 + index;
+  s.balancers = balancers;
+  s.index = index;
+  s.seed = 1000 + index;
   s.classes[0].stretch = 10;
   return s;
 }
@@ -40,7 +42,8 @@
     s.request(1, 100);
     ++jobs[s.sent_to(1)];
   }
-  int fast = 0, most = 0;
+  int fast = 0;
+  int most = 0;
   for (const auto& [worker, n] : jobs) {
     ASSERT_FALSE(worker.empty());
     most = std::max(most, n);
@@ -69,7 +72,8 @@
 struct Asking : ::testing::Test {
   Asking() {
     Settings set = one_of(500, 3);
-    set.may_probe = true, set.reports = ReportMode::OnProbe;
+    set.may_probe = true;
+    set.reports = ReportMode::OnProbe;
     scene = std::make_unique<Scene>(set);
     for (int i = 0; i < 40; ++i)
       names.push_back(name(i));
@@ -83,7 +87,8 @@
   }
   void answer(const std::string& worker, double free_slots, double busy) {
     LoadReport r;
-    r.free_slots = free_slots, r.busy = busy;
+    r.free_slots = free_slots;
+    r.busy = busy;
     scene->actions.clear();
     scene->dispatcher_.on_probe_result(scene->now, worker, Outcome::Success, r, scene->actions);
   }
@@ -122,7 +127,9 @@
 
 TEST_F(Asking, NoJobGoesToAWorkerWhoseProbeHasJustFailed) {  // incident ifddfb2
   Settings set = one_of(500, 3);
-  set.may_probe = true, set.reports = ReportMode::OnProbe, set.classes[0].effect = Effect::Safe;
+  set.may_probe = true;
+  set.reports = ReportMode::OnProbe;
+  set.classes[0].effect = Effect::Safe;
   for (Outcome outcome : {Outcome::Unreachable, Outcome::TimedOut, Outcome::Overloaded}) {
     scene = std::make_unique<Scene>(set);
     scene->list(fleet(*scene, names, 0));
@@ -138,9 +145,11 @@
 
 TEST_F(Asking, AWaitingJobIsCopiedOnceThoughBothAreTurnedIntoQueues) {
   Settings set = one_of(500, 3);
-  set.classes[0].effect = Effect::Safe, set.classes[0].aim = Duration(5000);
+  set.classes[0].effect = Effect::Safe;
+  set.classes[0].aim = Duration(5000);
   for (bool drawn : {true, false}) {
-    set.balancers = drawn ? 500 : 1, set.index = 0;
+    set.balancers = drawn ? 500 : 1;
+    set.index = 0;
     Scene s(set);
     s.list(fleet(s, names, 0));
     s.request(1, 100);
@@ -211,7 +220,9 @@
   double sent = 0;
   for (int index = 0; index < 100; ++index) {
     Settings set = one_of(100, index);
-    set.may_probe = true, set.reports = ReportMode::Inline, set.fall_span = Duration(2000);
+    set.may_probe = true;
+    set.reports = ReportMode::Inline;
+    set.fall_span = Duration(2000);
     Scene s(set);
     std::vector<std::string> names;
     for (int i = 0; i < 60; ++i)
@@ -262,7 +273,8 @@
   }
   static Settings near_settings(int index) {
     Settings set = one_of(100, index);
-    set.may_probe = true, set.reports = ReportMode::Inline;
+    set.may_probe = true;
+    set.reports = ReportMode::Inline;
     return set;
   }
   void say(int worker, double jobs) {
@@ -272,9 +284,10 @@
   // The one that a new job asks first, or goes to at once.
   std::string first(RequestId id) {
     request(id, 100);
-    for (const Action& a : actions)
+    for (const Action& a : actions) {
       if (a.kind == ActionKind::Probe || a.kind == ActionKind::Send)
         return std::string(a.worker);
+    }
     return {};
   }
 };
--- a/tests/fuzz/datagrams.cpp
+++ b/tests/fuzz/datagrams.cpp
@@ -21,7 +21,8 @@
 
 void view(std::string_view in) {
   View::Options o;
-  o.self = {1, 1}, o.others = {{2, 1}, {3, 1}};
+  o.self = {1, 1};
+  o.others = {{2, 1}, {3, 1}};
   View v(
       o, Time{}, [](const Endpoint&, const std::string& bytes) { must(bytes.size() <= 256); },
       [](const Endpoint&, State, std::uint32_t, bool) {});
@@ -52,7 +53,8 @@
 
 void seal(std::string_view in) {
   Key key;
-  Seal a({key}, {1, 1}, 1000), b({key}, {2, 1}, 1000);
+  Seal a({key}, {1, 1}, 1000);
+  b({key}, {2, 1}, 1000);
   std::string_view plain;
   must(b.open(1000, {1, 1}, in, plain) != Seal::Fault::None);  // nobody guesses a hash
   must(b.open(1000, {1, 1}, a.close(1000, {2, 1}, in), plain) == Seal::Fault::None && plain == in);
--- a/tests/net/crossings_test.cpp
+++ b/tests/net/crossings_test.cpp
@@ -27,8 +27,10 @@
     protocol::Parser parser{protocol::Parser::Kind::Request};
     std::string id;  // of the submit that came on it
     transport::Time began{};
-    bool begins = false, broken = false;   // its first bytes came; we ended it
-    bool taken = false, answered = false;  // 202 was written; another answer was
+    bool begins = false;
+    bool broken = false;  // its first bytes came; we ended it
+    bool taken = false;
+    bool answered = false;  // 202 was written; another answer was
   };
   struct Watch {
     Wire wire;
@@ -38,7 +40,8 @@
 
   Scene(const std::string& job_class, Stage stage) : Loopback(11), klass(job_class) {
     Json::Value config = example();
-    config["discovery"] = lists.address, config["known"]["targets"][0]["endpoint"] = worker.address;
+    config["discovery"] = lists.address;
+    config["known"]["targets"][0]["endpoint"] = worker.address;
     start(config);
     for (Wire* w : {&client, &news_one, &news_two})
       dial(*w);
@@ -58,8 +61,11 @@
       return;
     pass(3);
     REQUIRE(calls.front().id == "00000000000000a1");
-    if (stage == Stage::Taken)
-      calls.front().wire.say(kTaken), calls.front().taken = true, settle();
+    if (stage == Stage::Taken) {
+      calls.front().wire.say(kTaken);
+      calls.front().taken = true;
+      settle();
+    }
   }
 
   static constexpr const char* kTaken = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
@@ -69,9 +75,10 @@
   void pass(double ms) {  // in steps that no deadline of the program is longer than
     for (transport::Time until = clock.at + transport::Duration(ms); clock.at < until;) {
       clock.at = std::min(until, clock.at + transport::Duration(500));
-      for (Watch& w : watches)  // a watch is answered in time, with no change
+      for (Watch& w : watches) {  // a watch is answered in time, with no change
         if (w.asked)
           answer(w, "[]");
+      }
       settle();
     }
   }
@@ -83,8 +90,8 @@
     int on = 1;
     setsockopt(w.fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
     std::size_t colon = listen_at.find(':');
-    sockaddr_in to = testing::address_of(host, std::stoi(listen_at.substr(colon + 1))),
-                from = testing::address_of(host, 0);
+    sockaddr_in to = testing::address_of(host, std::stoi(listen_at.substr(colon + 1)));
+    sockaddr_in from = testing::address_of(host, 0);
     REQUIRE(bind(w.fd, reinterpret_cast<sockaddr*>(&from), sizeof from) == 0);
     REQUIRE(connect(w.fd, reinterpret_cast<sockaddr*>(&to), sizeof to) == 0);
   }
@@ -121,9 +128,10 @@
     tell_changes();
   }
   void tell_changes() {
-    for (Watch& w : watches)
+    for (Watch& w : watches) {
       if (w.asked && !changes.empty())
         answer(w, std::exchange(changes, {changes.begin() + 1, changes.end()})[0]);
+    }
   }
 
   bool serve() override {
@@ -152,7 +160,8 @@
     bool before = line.wire.ended;
     std::string got = line.wire.pull();
     if (!got.empty() && !line.begins) {
-      line.begins = true, line.began = clock.at;
+      line.begins = true;
+      line.began = clock.at;
       too_late += closed_to_it && got.starts_with("POST");
     }
     line.parser.feed(got);
@@ -172,7 +181,8 @@
         out.clear();
       return line.wire.say("HTTP/1.1 204 No Content\r\n\r\n");
     }
-    line.id = id, ++begun;
+    line.id = id;
+    ++begun;
     may_have_run += id == "00000000000000a1";
     twice += !out.empty() && out == id;
     // What was left to its client when it went out, at the most; a further attempt too.
@@ -182,9 +192,11 @@
     out = id;
     if (!good)
       return;
-    line.wire.say(kTaken), line.taken = true;
+    line.wire.say(kTaken);
+    line.taken = true;
     tell(news_three(), "done", id);
-    out.clear(), served = true;
+    out.clear();
+    served = true;
   }
 
   Wire& news_three() {  // from here on a call-back comes on a connection of its own
@@ -193,19 +205,30 @@
   }
 
   std::string klass;
-  Door lists{host}, worker{host};
+  Door lists{host};
+  Door worker{host};
   std::list<Line> calls;
   std::list<Watch> watches;
   std::list<Wire> more_news;
-  Wire client, news_one, news_two;
+  Wire client;
+  Wire news_one;
+  Wire news_two;
   std::vector<std::string> changes;  // that have not been told yet
   int revision = 5;
   std::string out;  // the command whose attempt has neither ended nor been given up at the worker
-  bool good = false, client_left = false, closed_to_it = false, served = false, said_failed = false;
-  int too_late = 0, begun = 0, twice = 0, may_have_run = 0;
+  bool good = false;
+  bool client_left = false;
+  bool closed_to_it = false;
+  bool served = false;
+  bool said_failed = false;
+  int too_late = 0;
+  int begun = 0;
+  int twice = 0;
+  int may_have_run = 0;
   double told_over = -1e9;  // ms
   std::map<std::string, transport::Time> handed_in;
-  std::size_t descriptors = 0, waiting = 0;
+  std::size_t descriptors = 0;
+  std::size_t waiting = 0;
 };
 
 // ---- What can happen ----
@@ -312,8 +335,10 @@
     return std::string_view(e.name).starts_with("the worker is ");
   };
   first.happens(s);
-  if (order == Order::Apart)
-    s.settle(), s.closed_to_it = leaves(first);
+  if (order == Order::Apart) {
+    s.settle();
+    s.closed_to_it = leaves(first);
+  }
   second.happens(s);
   int begun_before_left = s.begun;
   // What has not been read before the clock moved came, for the program, when it was.
@@ -352,7 +377,10 @@
       CHECK((s.begun > 0 || s.said_failed));  // what has not begun is refused
   }
   // Nothing is left over once all have gone.
-  s.client.close(), s.news_one.close(), s.news_two.close(), s.more_news.clear();
+  s.client.close();
+  s.news_one.close();
+  s.news_two.close();
+  s.more_news.clear();
   for (Scene::Line& line : s.calls)
     line.wire.close();
   s.pass(3000);
@@ -364,8 +392,8 @@
 }
 
 void play_all(const std::string& klass) {
-  for (Stage stage : {Stage::Held, Stage::Sent, Stage::Taken})
-    for (const Event& first : events())
+  for (Stage stage : {Stage::Held, Stage::Sent, Stage::Taken}) {
+    for (const Event& first : events()) {
       for (const Event& second : events()) {
         if (&first == &second)
           continue;
@@ -376,6 +404,8 @@
           play(klass, stage, first, second, order);
         }
       }
+    }
+  }
 }
 
 }  // namespace
--- a/tests/net/exchanges_test.cpp
+++ b/tests/net/exchanges_test.cpp
@@ -13,9 +13,10 @@
   const std::set<std::string> parts{"start",   "order",  "order2",      "taken", "group",
                                     "streams", "upload", "long_upload", "reply"};
   std::set<std::string> names;
-  for (const auto& entry : std::filesystem::directory_iterator(folder + "/exchanges"))
+  for (const auto& entry : std::filesystem::directory_iterator(folder + "/exchanges")) {
     if (entry.path().extension() == ".txt")
       names.insert(entry.path().stem().string());
+  }
   REQUIRE(names.size() > parts.size());
   for (const std::string& name : names) {
     if (parts.contains(name))
--- a/tests/net/fleet_process_test.cpp
+++ b/tests/net/fleet_process_test.cpp
@@ -35,9 +35,10 @@
     return out;
   }
   bool any_log_says(const std::string& text) {
-    for (int i : up())
+    for (int i : up()) {
       if (member(i).log().find(text) != std::string::npos)
         return true;
+    }
     return false;
   }
 };
@@ -69,7 +70,8 @@
   };
   // Between two looks that agree: on a busy machine somebody may be suspected for a moment
   // meanwhile.
-  std::string printed, digest;
+  std::string printed;
+  std::string digest;
   f.wait([&] {
     digest = f.view(0)["digest"].asString();
     printed = print(command);
@@ -93,7 +95,8 @@
   CHECK(page.figure("dispatcher.fleet.sent") > 0);
   // A table that is renewed shows what has happened since, until there is nobody to ask.
   FILE* table = popen((command + " --watch 0.1 2>/dev/null").c_str(), "r");
-  bool killed = false, seen = false;
+  bool killed = false;
+  bool seen = false;
   for (char line[256]; std::fgets(line, sizeof line, table);) {
     if (!std::exchange(killed, true))
       f.crash(5);
@@ -218,9 +221,9 @@
 }
 
 TEST_CASE("keys are exchanged while the fleet serves, and whoever has another is a stranger") {
-  const std::string one = "key { id: 1 secret: \"" + std::string(64, 'a') + "\" }\n",
-                    two = "key { id: 2 secret: \"" + std::string(64, 'b') + "\" }\n",
-                    foreign = "key { id: 1 secret: \"" + std::string(64, 'c') + "\" }\n";
+  const std::string one = "key { id: 1 secret: \"" + std::string(64, 'a') + "\" }\n";
+  const std::string two = "key { id: 2 secret: \"" + std::string(64, 'b') + "\" }\n";
+  const std::string foreign = "key { id: 1 secret: \"" + std::string(64, 'c') + "\" }\n";
   ProcessFleet::Setup s = setup();
   s.keys = one;
   Eight f(s);
@@ -235,10 +238,11 @@
     for (int i : f.up()) {
       std::uint64_t before = f.view(0)["sent"].asUInt64();
       f.keys(i, text);
-      if (i == 3)
+      if (i == 3) {
         f.wait([&] {
           return f.view(0)["sent"].asUInt64() > before + 16;
         });  // half of them hold another
+      }
     }
     f.settles();
   }
@@ -277,12 +281,14 @@
     "members that know two seeds alone find all others, also after a seed has died, and forget the "
     "dead") {
   ProcessFleet::Setup s = setup();
-  s.seeds = 2, s.forget_s = 10;
+  s.seeds = 2;
+  s.forget_s = 10;
   Eight f(s);
   f.start_all();
   f.settles();
   f.orders_begin({1, 2});
-  f.crash(0), f.crash(7);
+  f.crash(0);
+  f.crash(7);
   f.settles();
   CHECK(f.view(3)["members"].size() == 7);
   f.wait([&] { return f.view(3)["members"].size() == 6; });  // 7 is forgotten, the seed is not
--- a/tests/net/fleet_test.cpp
+++ b/tests/net/fleet_test.cpp
@@ -46,9 +46,11 @@
 struct Three {
   std::string w = near_worker(0);
   Loads self{0, kFleet};
-  Heard heard, unused;
+  Heard heard;
+  Heard unused;
   std::vector<int> others = (self.list({w}, heard.changed), self.listeners(w));
-  Loads first{others.at(0), kFleet}, second{others.at(1), kFleet};
+  Loads first{others.at(0), kFleet};
+  Loads second{others.at(1), kFleet};
   Three() { first.list({w}, unused.changed), second.list({w}, unused.changed); }
 };
 
@@ -92,8 +94,9 @@
 
 TEST_CASE("the latest number of each sender counts, and none for ever") {
   Three t;
-  std::string three = tells(t.first, 0, t.w, 3), one = tells(t.second, 0, t.w, 1),
-              none = tells(t.second, 1, t.w, 0);
+  std::string three = tells(t.first, 0, t.w, 3);
+  std::string one = tells(t.second, 0, t.w, 1);
+  std::string none = tells(t.second, 1, t.w, 0);
   auto take = [&](double ms, int sender, const std::string& message) {
     CHECK(t.self.take(at(ms), t.others[sender], message, t.heard.changed));
     return t.heard.jobs.at(t.w);
@@ -109,13 +112,17 @@
 }
 
 TEST_CASE("a count that fell waits while somebody is idle, and rides where a message goes anyway") {
-  Loads a(0, 3), b(1, 3);  // a small fleet: all are near to all
-  Heard heard, at_b;
-  a.list({"s-1", "s-2", "s-3"}, heard.changed), b.list({"s-1", "s-2", "s-3"}, at_b.changed);
+  Loads a(0, 3);
+  Loads b(1, 3);  // a small fleet: all are near to all
+  Heard heard;
+  Heard at_b;
+  a.list({"s-1", "s-2", "s-3"}, heard.changed);
+  b.list({"s-1", "s-2", "s-3"}, at_b.changed);
   auto hear = [&](const std::vector<Loads::Message>& messages) {
-    for (const auto& m : messages)
+    for (const auto& m : messages) {
       if (m.to == 1)
         CHECK(b.take(at(0), 0, m.bytes, at_b.changed));
+    }
     return messages.size();
   };
   auto have = [&](double ms, const std::string& w, int jobs) {
@@ -182,7 +189,9 @@
 
 TEST_CASE("what is no message of ours changes nothing") {
   Three t;
-  std::string good = tells(t.first, 0, t.w, 3), wrong_version = good + good, too_long;
+  std::string good = tells(t.first, 0, t.w, 3);
+  std::string wrong_version = good + good;
+  std::string too_long;
   wrong_version[3] = static_cast<char>(2 << 4 | 1);
   while (too_long.size() <= kLongest)
     too_long += good;
--- a/tests/net/handover_test.cpp
+++ b/tests/net/handover_test.cpp
@@ -1,7 +1,7 @@
 // Upgrades. First who takes new jobs, over every order of what can happen to the two processes and
 // their link; then the program as two processes, between stand-ins on real sockets, with verdicts
 // by order and count.
-#include <signal.h>
+#include <csignal>
 
 #include <atomic>
 #include <catch2/catch.hpp>
@@ -26,10 +26,16 @@
   enum class Said { Hello, Welcome, Refusal, Ready, Yours, News, Garbage };
   Elder elder{{"n0", "a:1"}};
   Heir heir;
-  std::deque<Said> to_elder, to_heir;
-  bool linked = false, elder_lives = true, heir_lives = true;
-  bool elder_accepts = true, heir_accepts = false, heir_waits = true;  // waits: to ask (again)
-  bool elder_heard_end = true, heir_heard_end = true;
+  std::deque<Said> to_elder;
+  std::deque<Said> to_heir;
+  bool linked = false;
+  bool elder_lives = true;
+  bool heir_lives = true;
+  bool elder_accepts = true;
+  bool heir_accepts = false;
+  bool heir_waits = true;  // waits: to ask (again)
+  bool elder_heard_end = true;
+  bool heir_heard_end = true;
 
   void cut() {  // by whichever side; each hears of it in its own time, after what was on its way
     linked = false;
@@ -53,7 +59,9 @@
         elder_accepts = true;
         return;
       case Elder::Do::HangUp:
-        cut(), elder_heard_end = true, to_elder.clear();
+        cut();
+        elder_heard_end = true;
+        to_elder.clear();
         return;
     }
   }
@@ -68,7 +76,9 @@
         heir_accepts = true;
         return;
       case Heir::Do::HangUp:
-        cut(), heir_heard_end = true, to_heir.clear();
+        cut();
+        heir_heard_end = true;
+        to_heir.clear();
         return act(heir.ended());
       case Heir::Do::AskAgain:
         heir_waits = true;
@@ -90,7 +100,9 @@
           return act(heir.nobody()), true;
         if (!elder.free() || !elder_heard_end)
           return heir_waits = true, false;  // hung up on; it asks again
-        linked = true, to_elder.clear(), to_heir.clear();
+        linked = true;
+        to_elder.clear();
+        to_heir.clear();
         say(to_elder, Said::Hello);
         return true;
       case 1: {  // the elder hears something
@@ -98,12 +110,13 @@
           return false;
         Said s = to_elder.front();
         to_elder.pop_front();
-        if (s == Said::Hello)
+        if (s == Said::Hello) {
           act(elder.hello(handover::kVersion, {"n0", "a:1"}));
-        else if (s == Said::Ready)
+        } else if (s == Said::Ready) {
           act(elder.ready());
-        else if (s == Said::Garbage)
+        } else if (s == Said::Garbage) {
           act(elder.nonsense());
+        }
         return true;
       }
       case 2: {  // the heir hears something
@@ -111,12 +124,13 @@
           return false;
         Said s = to_heir.front();
         to_heir.pop_front();
-        if (s == Said::Welcome)
+        if (s == Said::Welcome) {
           act(heir.welcome());
-        else if (s == Said::Yours)
+        } else if (s == Said::Yours) {
           act(heir.yours());
-        else if (s == Said::Garbage)
+        } else if (s == Said::Garbage) {
           act(heir.nonsense());
+        }
         return true;
       }
       case 3:
@@ -170,9 +184,10 @@
     REQUIRE_FALSE((w.elder_accepts && w.heir_accepts));
     // Left alone from here, whoever lives takes jobs.
     World rest = w;
-    for (int i = 0; i < 100; ++i)
+    for (int i = 0; i < 100; ++i) {
       for (int what : {5, 6, 1, 2, 0})
         rest.step(what);
+    }
     if (rest.elder_lives || rest.heir_lives)
       REQUIRE((rest.elder_accepts != rest.heir_accepts));
     if (w.elder_lives && w.heir_lives && troubles == 0)
@@ -222,7 +237,10 @@
 
   Order order(const std::string& query = "news=1&work=3") {
     Order o;
-    o.id = ids++, o.query = query, o.upload = 100, o.time_left_ms = 5000;
+    o.id = ids++;
+    o.query = query;
+    o.upload = 100;
+    o.time_left_ms = 5000;
     return o;
   }
   std::map<std::string, int> begun() {
@@ -240,8 +258,8 @@
   bool logged(const std::string& text) { return dispatcher.log().find(text) != std::string::npos; }
 };
 
-const std::string kServed = "dispatcher.operations.place-order.fulfilled",
-                  kRelayed = "dispatcher.relayed";
+const std::string kServed = "dispatcher.operations.place-order.fulfilled";
+const std::string kRelayed = "dispatcher.relayed";
 
 }  // namespace
 
@@ -251,9 +269,10 @@
     "up") {
   Scene s;
   std::atomic<bool> over{false};
-  std::atomic<int> served{0}, other{0};
+  std::atomic<int> served{0};
+  std::atomic<int> other{0};
   std::vector<std::thread> clients;
-  for (int i = 0; i < 8; ++i)
+  for (int i = 0; i < 8; ++i) {
     clients.emplace_back([&, i] {
       Regular client(s.dispatcher.address());
       for (int n = 0; !over; ++n) {
@@ -262,11 +281,14 @@
         ++(a.status == 200 && a.whole && a.body == pattern_sha(0, 100) ? served : other);
       }
     });
-  long fulfilled = 0, relayed = 0;
+  }
+  long fulfilled = 0;
+  long relayed = 0;
   auto keep = [&](const std::string& operators) {
     Call last;
     s.until([&] { return (last = s.stats(operators)).figure("dispatcher.open_requests") == 0; });
-    fulfilled += last.figure(kServed), relayed += last.figure(kRelayed);
+    fulfilled += last.figure(kServed);
+    relayed += last.figure(kRelayed);
   };
   for (int round = 0; round < 3; ++round) {
     int before = served;
@@ -292,8 +314,9 @@
 
 TEST_CASE("what is half sent goes along, and a job's call-back finds its process") {
   Scene s;
-  Regular half(s.dispatcher.address()), silent(s.dispatcher.address()),
-      busy(s.dispatcher.address());
+  Regular half(s.dispatcher.address());
+  Regular silent(s.dispatcher.address());
+  Regular busy(s.dispatcher.address());
   CHECK(half.hand_in(s.order()).status == 200);
   half.begin("POST /api?news=1 HTTP/1.1\r\nX-Correlation-Id: 00000000000f0001\r\nX-Service-Cl");
   // Its job begins at the old process and ends after the change; the order worker calls the address
@@ -340,14 +363,16 @@
     "once") {
   Scene s;
   std::atomic<bool> over{false};
-  std::atomic<int> served{0}, other{0};
+  std::atomic<int> served{0};
+  std::atomic<int> other{0};
   std::thread orders([&] {
     Regular client(s.dispatcher.address());
     while (!over)
       ++(client.hand_in(s.order()).status == 200 ? served : other);
   });
   for (int round = 0; round < 3; ++round) {
-    int before = served, old = s.dispatcher.pid();
+    int before = served;
+    int old = s.dispatcher.pid();
     s.until([&] { return served > before + 20; });
     std::atomic<bool> up{false};
     std::thread signals([&] {
@@ -407,7 +432,8 @@
     CHECK(s.dispatcher.end_old() == 0);
   }
   SECTION("the new one's configuration is broken") {
-    std::string path = s.dispatcher.folder() + "/config.json", text;
+    std::string path = s.dispatcher.folder() + "/config.json";
+    std::string text;
     std::getline(std::ifstream(path), text, '\0');
     std::ofstream(path) << "{";
     CHECK_FALSE(s.dispatcher.start_beside());
--- a/tests/net/loopback.h
+++ b/tests/net/loopback.h
@@ -51,10 +51,11 @@
       ssize_t n = recv(fd, buffer, sizeof buffer, MSG_DONTWAIT);
       if (n < 0 && errno == EAGAIN)
         break;
-      if (n <= 0)
+      if (n <= 0) {
         ended = true;
-      else
+      } else {
         got.append(buffer, static_cast<std::size_t>(n));
+      }
     }
     return got;
   }
@@ -62,7 +63,8 @@
 
 inline sockaddr_in address_of(const std::string& host, int port) {
   sockaddr_in a{};
-  a.sin_family = AF_INET, a.sin_port = htons(static_cast<std::uint16_t>(port));
+  a.sin_family = AF_INET;
+  a.sin_port = htons(static_cast<std::uint16_t>(port));
   unsigned parts[4];
   std::sscanf(host.c_str(), "%u.%u.%u.%u", &parts[0], &parts[1], &parts[2], &parts[3]);
   a.sin_addr.s_addr = htonl(parts[0] << 24 | parts[1] << 16 | parts[2] << 8 | parts[3]);
@@ -112,10 +114,12 @@
       socklen_t size = sizeof info;
       if (getsockopt(fd, IPPROTO_TCP, TCP_INFO, &info, &size) != 0 || info.tcpi_state == kListening)
         continue;
-      for (int moving : {kSynSent, kSynReceived, kFinWait1, kClosing, kLastAck})
+      for (int moving : {kSynSent, kSynReceived, kFinWait1, kClosing, kLastAck}) {
         if (info.tcpi_state == moving)
           return false;
-      sockaddr_in own{}, other{};
+      }
+      sockaddr_in own{};
+      sockaddr_in other{};
       socklen_t length = sizeof own;
       getsockname(fd, reinterpret_cast<sockaddr*>(&own), &length);
       getpeername(fd, reinterpret_cast<sockaddr*>(&other), &length);
@@ -152,7 +156,8 @@
   ManualClock clock;
   transport::Deadlines deadlines;
   transport::Loop loop{deadlines, clock};
-  std::string log_text, listen_at;
+  std::string log_text;
+  std::string listen_at;
   operations::Log log{clock, [this](const std::string& line) {
                         log_text += line + '\n';
                       }};
@@ -171,7 +176,8 @@
 
   void start(Json::Value config) {
     Door free(host);  // its address is free again in a moment
-    listen_at = free.address, config["listen"] = listen_at;
+    listen_at = free.address;
+    config["listen"] = listen_at;
     ::close(std::exchange(free.fd, -1));
     auto nothing = [](const char*) {
       return std::string();
--- a/tests/net/operations_test.cpp
+++ b/tests/net/operations_test.cpp
@@ -16,7 +16,9 @@
 
 protocol::NameList list(bool whole, Readiness readiness, double boot = 0, const char* uid = "s-a") {
   protocol::Listed l;
-  l.uid = uid, l.address = "10.1.0.1:5000", l.entry.readiness = readiness;
+  l.uid = uid;
+  l.address = "10.1.0.1:5000";
+  l.entry.readiness = readiness;
   if (boot > 0)
     l.entry.online_since = at(boot);
   return {1, whole, {l}};
@@ -25,7 +27,7 @@
 }  // namespace
 
 TEST_CASE("an instance out by hand drains in every list until the call back") {
-  for (bool whole : {true, false})
+  for (bool whole : {true, false}) {
     for (Readiness told : {Readiness::Ready, Readiness::Terminating, Readiness::Gone}) {
       operations::Roster r;
       r.apply(list(true, Readiness::Ready));
@@ -43,12 +45,15 @@
       CHECK(back->entries.at(0).entry.readiness == Readiness::Ready);
       CHECK(r.uncordon("s-a", at(500))->entries.empty());  // it is back already: nothing is new
     }
+  }
 }
 
 TEST_CASE("an instance that comes back is as cold as one that has just started") {
   struct Row {
-    double boot, later, wanted,
-        in_the_end;  // told while it is out; told after; start as seen after each
+    double boot;
+    double later;
+    double wanted;
+    double in_the_end;  // told while it is out; told after; start as seen after each
   };
   for (Row row : {Row{0, 0, 400, 400},       // discovery tells of no restart, ever
                   Row{0, 250, 400, 250},     // late
--- a/tests/net/parts_test.cpp
+++ b/tests/net/parts_test.cpp
@@ -166,11 +166,16 @@
 }
 
 TEST_CASE("classes, tenants, zones and kinds keep their numbers") {
-  program::Config now = config(), next = config();
-  next.words.classes = {"new", "group-order"}, next.words.tenants = {"b", "lanting, bento"};
-  next.words.zones = {"other", "room"}, next.words.kinds = {"big", "std"};
-  next.settings.zone = 1, next.settings.tenant_quotas = {5, 7};
-  next.settings.classes[0].deadline = stagehinge::Duration(77), next.settings.classes[0].kind = 0;
+  program::Config now = config();
+  program::Config next = config();
+  next.words.classes = {"new", "group-order"};
+  next.words.tenants = {"b", "lanting, bento"};
+  next.words.zones = {"other", "room"};
+  next.words.kinds = {"big", "std"};
+  next.settings.zone = 1;
+  next.settings.tenant_quotas = {5, 7};
+  next.settings.classes[0].deadline = stagehinge::Duration(77);
+  next.settings.classes[0].kind = 0;
   program::keep_numbers(now, next);
   CHECK(next.words.classes == std::vector<std::string>{"place-order", "group-order", "new"});
   CHECK(next.words.dropped == std::vector<bool>{true, false, false});
@@ -211,7 +216,8 @@
   protocol::Vocabulary words = config().words;
   auto slots = [&](const std::string& header) {
     Message m;
-    m.status = 200, m.headers = {{"X-Backend-Load", header}};
+    m.status = 200;
+    m.headers = {{"X-Backend-Load", header}};
     return protocol::read_probe_answer(m, words).report.free_slots;
   };
   CHECK(slots("TEXT fail_rate=0.1, q=2, x0=1.5") == 1.5);
@@ -220,7 +226,8 @@
   CHECK_FALSE(slots("TEXT x0=1.5, q"));
   CHECK_FALSE(slots("TEXT x0=1.5, q=1e300"));
   Message json;
-  json.status = 200, json.body = R"({"x0":2,"q":0})";
+  json.status = 200;
+  json.body = R"({"x0":2,"q":0})";
   CHECK(protocol::read_probe_answer(json, words).report.free_slots == 2);
 }
 
@@ -241,7 +248,8 @@
 
 TEST_CASE("a slot's old number finds nothing") {
   transport::SlotTable<int> table(2);
-  auto a = *table.insert(1), b = *table.insert(2);
+  auto a = *table.insert(1);
+  auto b = *table.insert(2);
   CHECK_FALSE(table.insert(3));
   table.erase(a);
   auto c = *table.insert(3);
@@ -331,13 +339,19 @@
   using stagehinge::Effect;
   stagehinge::Settings s;
   stagehinge::ClassSettings c;
-  c.name = "book", c.effect = Effect::Keyed, c.group = stagehinge::Group::Zone;
-  c.memory_span = stagehinge::Duration(10000), c.deadline = stagehinge::Duration(8000);
-  c.aim = stagehinge::Duration(500), c.worth = 10;
+  c.name = "book";
+  c.effect = Effect::Keyed;
+  c.group = stagehinge::Group::Zone;
+  c.memory_span = stagehinge::Duration(10000);
+  c.deadline = stagehinge::Duration(8000);
+  c.aim = stagehinge::Duration(500);
+  c.worth = 10;
   s.classes = {c};
-  s.max_attempts = 3, s.may_probe = s.cancelling = true,
+  s.max_attempts = 3;
+  s.may_probe = s.cancelling = true;
   s.reports = stagehinge::ReportMode::OnProbe;
-  s.connect_timeout = stagehinge::Duration(250), s.ramp_time = stagehinge::Duration(9000),
+  s.connect_timeout = stagehinge::Duration(250);
+  s.ramp_time = stagehinge::Duration(9000);
   s.tip_multiple = 3;
   const Place place{1024, 192, false, false, 0, 0};
   REQUIRE(contradictions(s, place).empty());
@@ -391,9 +405,10 @@
   CHECK(judge({true, false, 0.9}, 1) == Judgement::PlayAgain);
   CHECK(judge({true, false, 0.9}, lab::kMostPlays) == Judgement::Broken);
 
-  std::istringstream before("cpu  10 0 10 70 0 0 0 10 0 0\ncpu0 1 2 3"),
-      after("cpu  20 0 20 120 0 0 0 40 7 7\n");
-  lab::CoreTicks from = lab::read_core_ticks(before), to = lab::read_core_ticks(after);
+  std::istringstream before("cpu  10 0 10 70 0 0 0 10 0 0\ncpu0 1 2 3");
+  std::istringstream after("cpu  20 0 20 120 0 0 0 40 7 7\n");
+  lab::CoreTicks from = lab::read_core_ticks(before);
+  lab::CoreTicks to = lab::read_core_ticks(after);
   CHECK(lab::stolen_part(from, to) == Approx(0.3));
   CHECK(lab::stolen_part(to, to) == 0);
   std::istringstream none("");
--- a/tests/net/player.h
+++ b/tests/net/player.h
@@ -26,12 +26,17 @@
 class PlayedNetwork final : public transport::Network {
  public:
   struct End {
-    std::string name, address, sent;  // no name: the file has not met this connection yet
+    std::string name;
+    std::string address;
+    std::string sent;  // no name: the file has not met this connection yet
     transport::ConnectionHandler* handler = nullptr;
     std::optional<transport::Time> answer =
         {};  // of a discovery that answers by itself: when the next one is due
     std::string revision = {};
-    bool closed = false, finished = false, unread = false, stuck = false;
+    bool closed = false;
+    bool finished = false;
+    bool unread = false;
+    bool stuck = false;
     std::size_t granted = SIZE_MAX;
   };
   std::map<transport::SlotRef, End> ends;
@@ -63,9 +68,10 @@
   void bulk(transport::SlotRef, bool) override {}
   void again(transport::SlotRef ref) override { again_.push_back(ref); }
   void serve_bulk() {
-    for (transport::SlotRef ref : std::exchange(again_, {}))
+    for (transport::SlotRef ref : std::exchange(again_, {})) {
       if (!ends.at(ref).closed)
         ends.at(ref).handler->on_written(ref);
+    }
   }
   void finish(transport::SlotRef ref) override { ends.at(ref).finished = true; }
   void close(transport::SlotRef ref) override {
@@ -121,47 +127,50 @@
 
   void step(const std::string& line) {
     std::istringstream words(line);
-    std::string first, second, rest;
+    std::string first;
+    std::string second;
+    std::string rest;
     words >> first >> second;
     std::getline(words, rest);
     if (!rest.empty())
       rest.erase(0, 1);
-    if (first == "play")
+    if (first == "play") {
       play(second);
-    else if (first == "set")
+    } else if (first == "set") {
       set(second, rest);
-    else if (first == "features")
+    } else if (first == "features") {
       features_ = features::read_features(line.substr(9), "features");
-    else if (first == "environment")
+    } else if (first == "environment") {
       environment_[second] = rest;
-    else if (first == "start")
+    } else if (first == "start") {
       start();
-    else if (first == "wait")
+    } else if (first == "wait") {
       wait(std::stod(second));
-    else if (first == "open")
+    } else if (first == "open") {
       open(second, app_->acceptor());
-    else if (first == "operator")
+    } else if (first == "operator") {
       open(second, *operators_);
-    else if (first == "connects" || first == "refuses" || first == "opens")
+    } else if (first == "connects" || first == "refuses" || first == "opens") {
       meet(second, rest, first);
-    else if (first == "callers")
+    } else if (first == "callers") {
       need(operators_->shed_idle() == (second == "shed"), "it does otherwise");
-    else if (first == "crowd")
+    } else if (first == "crowd") {
       need(app_->acceptor().shed_idle() == (second == "sheds"), "it does otherwise");
-    else if (first == "descriptors")
+    } else if (first == "descriptors") {
       network_.spare = second == "none" ? 0 : -1;
-    else if (first == "reload")
+    } else if (first == "reload") {
       reload();
-    else if (first == "terminate")
+    } else if (first == "terminate") {
       app_->terminate();
-    else if (first == "givable")
+    } else if (first == "givable") {
       need(givable() == std::stoi(second), "it does otherwise");
-    else if (first == "ended")
+    } else if (first == "ended") {
       need(app_->finished() == (second == "yes"), "the program thinks otherwise");
-    else if (first == "log")
+    } else if (first == "log") {
       need(log_text_.find(line.substr(4)) != std::string::npos, "logged:\n" + log_text_);
-    else
+    } else {
       speak(first, second, rest);
+    }
   }
 
   int givable() {
@@ -223,7 +232,7 @@
   void answer_watch(transport::SlotRef ref, PlayedNetwork::End& end) {
     clock_.at = std::max(clock_.at, *end.answer);
     end.answer = clock_.at + transport::Duration(1000);
-    std::string list = "{\"rev\":" + end.revision + ",\"all\":false,\"targets\":[]}";
+    std::string list = "{\"rev\":" + end.revision + R"(,"all":false,"targets":[]})";
     end.handler->on_bytes(ref, "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(list.size()) +
                                    "\r\n\r\n" + list);
     need(end.sent.starts_with("GET /v1/endpoints?index=" + end.revision + "&wait="),
@@ -232,9 +241,10 @@
   }
 
   void open(const std::string& name, transport::Acceptor& acceptor) {
-    for (auto& [ref, end] : network_.ends)  // an ended connection gives its name to the next
+    for (auto& [ref, end] : network_.ends) {  // an ended connection gives its name to the next
       if (end.name == name && (end.closed || end.finished))
         end.name += " (ended)";
+    }
     auto ref = network_.add({name, "", "", &acceptor});
     acceptor.on_accepted(ref);
   }
@@ -248,7 +258,8 @@
         return end.handler->on_connected(ref);
       if (how == "opens")
         return end.sent.clear();
-      end.sent.clear(), end.closed = true;
+      end.sent.clear();
+      end.closed = true;
       return end.handler->on_closed(ref, false);
     }
     throw Mismatch("no connection was opened to " + address);
@@ -286,7 +297,8 @@
           piece.replace(bar, 1, "\r\n");
         end.handler->on_bytes(ref, piece);
       } else if (verb == "floods") {  // as often as the number says, in one piece
-        std::string much, request = text.substr(text.find(' ') + 1) + "\r\n\r\n";
+        std::string much;
+        std::string request = text.substr(text.find(' ') + 1) + "\r\n\r\n";
         for (int i = std::stoi(text); i > 0; --i)
           much += request;
         end.handler->on_bytes(ref, much);
@@ -307,7 +319,8 @@
         need(!end.closed, "the program has closed it");
         end.handler->on_connected(ref);
       } else if (verb == "answers") {
-        end.revision = text, end.answer = clock_.at + transport::Duration(1000);
+        end.revision = text;
+        end.answer = clock_.at + transport::Duration(1000);
       } else if (verb == "stuck") {
         end.stuck = true;
       } else if (verb == "drains") {
--- a/tests/net/seal_test.cpp
+++ b/tests/net/seal_test.cpp
@@ -20,12 +20,14 @@
 
 Key key(unsigned char id, unsigned char fill) {
   Key k;
-  k.id = id, k.secret.fill(fill);
+  k.id = id;
+  k.secret.fill(fill);
   return k;
 }
 
 struct Pair {
-  Seal a{{key(1, 7)}, kA, kNow}, b{{key(1, 7)}, kB, kNow};
+  Seal a{{key(1, 7)}, kA, kNow};
+  Seal b{{key(1, 7)}, kB, kNow};
   std::string_view plain;
   Seal::Fault hears(const std::string& sealed, Seal::Wall now = kNow, const Endpoint& from = kA) {
     return b.open(now, from, sealed, plain);
@@ -38,20 +40,22 @@
   Pair p;
   std::string sealed = p.a.close(kNow, kB, "what one says");
   CHECK(sealed.size() == 13 + Seal::kOverhead);
-  for (std::size_t i = 0; i < sealed.size(); ++i)
+  for (std::size_t i = 0; i < sealed.size(); ++i) {
     for (int bit = 0; bit < 8; ++bit) {
       std::string spoilt = sealed;
       spoilt[i] = static_cast<char>(spoilt[i] ^ 1 << bit);
       CHECK(p.hears(spoilt) != Seal::Fault::None);
       CHECK(p.hears(sealed.substr(0, i)) != Seal::Fault::None);
     }
+  }
   CHECK(p.hears(sealed, kNow, kC) == Seal::Fault::Forged);  // somebody else sends it on
   Seal c({key(1, 7)}, kC, kNow);
   CHECK(c.open(kNow, kA, sealed, p.plain) == Seal::Fault::Forged);  // or to somebody else
   REQUIRE(p.hears(sealed) == Seal::Fault::None);
   CHECK(p.plain == "what one says");
   CHECK(p.hears(sealed) == Seal::Fault::Replayed);
-  Seal foreign({key(1, 8)}, kA, kNow), other({key(2, 7)}, kA, kNow);
+  Seal foreign({key(1, 8)}, kA, kNow);
+  Seal other({key(2, 7)}, kA, kNow);
   CHECK(p.hears(foreign.close(kNow, kB, "x")) == Seal::Fault::Forged);
   CHECK(p.hears(other.close(kNow, kB, "x")) == Seal::Fault::UnknownKey);
   CHECK(p.hears("") == Seal::Fault::NotSealed);
@@ -65,7 +69,8 @@
     sent.push_back(p.a.close(kNow, kB, std::to_string(i)));
   CHECK(p.hears(sent[100]) == Seal::Fault::None);
   for (int i : {99, 37, 35, 98, 37, 102, 101, 199, 135, 134}) {
-    bool again = i == 37 && p.plain == "98", old = i == 35 || i == 134;
+    bool again = i == 37 && p.plain == "98";
+    bool old = i == 35 || i == 134;
     CHECK(p.hears(sent[i]) == (again || old ? Seal::Fault::Replayed : Seal::Fault::None));
   }
   SECTION("also where the receiver has started again and knows of no counter") {
@@ -126,7 +131,8 @@
     }
   };
   CHECK(fault() == ":1:1: cannot be read");
-  std::string one = new_key(3), two = new_key(4);
+  std::string one = new_key(3);
+  std::string two = new_key(4);
   CHECK(one != new_key(3));
   write(one + two);
   auto keys = read_keys_file(path);
--- a/tests/net/sockets_test.cpp
+++ b/tests/net/sockets_test.cpp
@@ -14,8 +14,11 @@
 struct Peer : Acceptor {
   std::vector<SlotRef> accepted;
   std::string bytes;
-  int connected = 0, closed = 0, shed = 0;
-  bool all_written = false, can_shed = false;
+  int connected = 0;
+  int closed = 0;
+  int shed = 0;
+  bool all_written = false;
+  bool can_shed = false;
   GioNetwork* network = nullptr;
   void on_accepted(SlotRef ref) override { accepted.push_back(ref); }
   void on_connected(SlotRef) override { ++connected; }
@@ -50,7 +53,8 @@
   Deadlines deadlines;
   Loop loop{deadlines, clock};
   int complaints = 0;
-  Peer server, client;
+  Peer server;
+  Peer client;
   GioNetwork network;
 };
 
@@ -211,8 +215,10 @@
   s.until([&] { return s.server.accepted.size() == 12 && s.client.connected == 12; });
   for (SlotRef ref : s.server.accepted)
     s.network.bulk(ref, true);
-  for (SlotRef ref : clients)
-    s.network.bulk(ref, true), s.network.send(ref, std::string(150'000, 'x'));
+  for (SlotRef ref : clients) {
+    s.network.bulk(ref, true);
+    s.network.send(ref, std::string(150'000, 'x'));
+  }
   for (std::size_t before = 0; before < 12 * 150'000; before = s.server.bytes.size()) {
     s.loop.turn();
     s.network.serve_bulk();
@@ -239,7 +245,8 @@
   auto count = [&](const std::string&, std::string_view bytes) {
     got += bytes;
   };
-  Datagrams peer(loop.context(), address(1), count), stranger(loop.context(), address(30), count);
+  Datagrams peer(loop.context(), address(1), count);
+  Datagrams stranger(loop.context(), address(30), count);
   CHECK_THROWS_AS(Datagrams(loop.context(), address(1), count), std::runtime_error);  // taken
   CHECK_THROWS_AS(Datagrams(loop.context(), "nowhere", count), std::runtime_error);
   auto said = [&](const std::string& text) {
--- a/tests/net/streaming_test.cpp
+++ b/tests/net/streaming_test.cpp
@@ -68,14 +68,17 @@
   std::vector<Order> orders;
   for (std::uint64_t i = 1; i <= 48; ++i) {
     Order o;
-    o.id = i, o.seed = i * 77, o.chunked = i % 4 < 2;
+    o.id = i;
+    o.seed = i * 77;
+    o.chunked = i % 4 < 2;
     bool up = i % 2 == 0;
     std::uint64_t kind = i / 2 % 8;
-    if (up)
+    if (up) {
       o.upload = kBody + i;
-    else
+    } else {
       o.query = "reply=" + std::to_string(kBody + i) + "&seed=" + std::to_string(o.seed) +
                 (i % 4 == 1 ? "&chunked=1&" : "&");
+    }
     if (kind == 1)
       o.query += up ? "in=4000000" : "out=4000000";
     if (kind == 2)
@@ -85,9 +88,10 @@
     if (kind == 3 && up) {  // its last byte must not have gone out before the worker dies
       o.pause_at = 1'600'000;
       o.go_on = [&s, i] {
-        for (const Seen& seen : s.fleet.seen())
+        for (const Seen& seen : s.fleet.seen()) {
           if (std::stoull(seen.id, nullptr, 16) == i)
             return true;
+        }
         return false;
       };
     }
@@ -133,7 +137,9 @@
   // What was cut has given its memory back: everybody is served again.
   for (std::uint64_t i = 100; i < 110; ++i) {
     Order o;
-    o.id = i, o.upload = 300'000, o.seed = i;
+    o.id = i;
+    o.upload = 300'000;
+    o.seed = i;
     Answer a = s.run(o);
     CHECK(a.status == 200);
     CHECK(a.body == a.sent_sha);
@@ -147,7 +153,9 @@
   std::vector<Order> orders;
   for (std::uint64_t i = 1; i <= 32; ++i) {
     Order o;
-    o.id = i, o.upload = 20'000'000, o.seed = i,
+    o.id = i;
+    o.upload = 20'000'000;
+    o.seed = i;
     o.query = "hang_in=1000";  // more than the network holds
     orders.push_back(o);
   }
@@ -155,7 +163,8 @@
   std::thread all([&] { stuck = s.run_all(orders); });
   s.until([&] { return s.fleet.seen().size() == 8 + 32; });
   Order small;
-  small.id = 100, small.upload = 10;
+  small.id = 100;
+  small.upload = 10;
   Answer refused = s.run(small);
   CHECK(refused.status == 503);
   CHECK(refused.body == "too many bodies are on their way");
@@ -175,8 +184,11 @@
   std::vector<Order> orders;
   for (std::uint64_t i = 1; i <= 12; ++i) {
     Order o;
-    o.id = i, o.seed = i, o.upload = 50'000, o.query = "only=1&die_in=30000";
-    o.pause_at = 40'000,
+    o.id = i;
+    o.seed = i;
+    o.upload = 50'000;
+    o.query = "only=1&die_in=30000";
+    o.pause_at = 40'000;
     o.rate_up = 5'000'000;  // in small pieces; the last ones after the worker has died
     o.go_on = [&s, died = 8 + 2 * i - 1] {
       return s.fleet.seen().size() >= died;
@@ -197,7 +209,10 @@
 TEST_CASE("a worker that drains keeps the transfer it has and gets nothing new") {
   Scene s(kOn, 2);
   Order slow;
-  slow.id = 1, slow.upload = 3'000'000, slow.seed = 5, slow.query = "in=1000000";
+  slow.id = 1;
+  slow.upload = 3'000'000;
+  slow.seed = 5;
+  slow.query = "in=1000000";
   Answer a;
   std::thread transfer([&] { a = s.run(slow); });
   // Whichever has the transfer, it ends well.
@@ -206,22 +221,26 @@
   s.until([&] { return s.fleet.told(); });
   for (std::uint64_t i = 10; i < 20; ++i) {
     Order o;
-    o.id = i, o.upload = 1000;
+    o.id = i;
+    o.upload = 1000;
     CHECK(s.run(o).status == 200);
   }
   transfer.join();
   CHECK(a.status == 200);
   CHECK(a.body == a.sent_sha);
-  for (const Seen& seen : s.fleet.seen())
+  for (const Seen& seen : s.fleet.seen()) {
     if (seen.id >= "000000000000000a" && seen.id <= "0000000000000013")
       CHECK(seen.uid == "s-2");
+  }
 }
 
 TEST_CASE("SIGTERM: what ends in time is whole, the rest is cut so that the client can tell") {
   Scene s(kOn);
   std::vector<Order> orders(2);
-  orders[0].id = 1, orders[0].query = "reply=200000&seed=9&out=1000000";
-  orders[1].id = 2, orders[1].query = "reply=30000000&seed=9&out=1000000";
+  orders[0].id = 1;
+  orders[0].query = "reply=200000&seed=9&out=1000000";
+  orders[1].id = 2;
+  orders[1].query = "reply=30000000&seed=9&out=1000000";
   std::vector<Answer> answers;
   std::thread all([&] { answers = s.run_all(orders); });
   std::this_thread::sleep_for(std::chrono::milliseconds(200));
@@ -250,10 +269,11 @@
   std::vector<Budget::Lane> lanes;
   for (int step = 0; step < 200'000; ++step) {
     if (lanes.empty() || draw(50) == 0) {
-      if (auto lane = budget.open())
+      if (auto lane = budget.open()) {
         lanes.push_back(std::move(*lane));
-      else
+      } else {
         CHECK(lanes.size() > 49);  // greedy lanes alone never shut a newcomer out
+      }
     }
     std::size_t i = draw(lanes.size());
     if (std::size_t may = lanes[i].may_take(); may > 0 && draw(3) > 0) {
--- a/tests/net/view_property_test.cpp
+++ b/tests/net/view_property_test.cpp
@@ -13,7 +13,9 @@
 
 struct Fault {
   enum Kind { Crash, Start, Stop, Wake, Cut, OneWay, Heal, Loss } kind = Crash;
-  int who = 0, other = 0, gap_ms = 0;
+  int who = 0;
+  int other = 0;
+  int gap_ms = 0;
 };
 
 std::ostream& operator<<(std::ostream& out, const Fault& f) {
@@ -37,26 +39,33 @@
 // A world in which the faults have been, up to but not with the end of the last one.
 struct Troubled {
   ViewWorld w;
-  std::vector<bool> up, stopped;
+  std::vector<bool> up;
+  std::vector<bool> stopped;
   int n;
   Troubled(int members, std::uint64_t seed)
       : w(members, seed), up(members, true), stopped(members, false), n(members) {}
   void take(const Fault& f) {
-    int who = f.who % n, other = f.other % n;
+    int who = f.who % n;
+    int other = f.other % n;
     auto at = static_cast<std::size_t>(who);
     switch (f.kind) {
       case Fault::Crash:
-        w.crash(who), up[at] = false;
+        w.crash(who);
+        up[at] = false;
         break;
       case Fault::Start:
-        if (!up[at])
-          w.start(who), up[at] = true;
+        if (!up[at]) {
+          w.start(who);
+          up[at] = true;
+        }
         break;
       case Fault::Stop:
-        w.stop(who, true), stopped[at] = true;
+        w.stop(who, true);
+        stopped[at] = true;
         break;
       case Fault::Wake:
-        w.stop(who, false), stopped[at] = false;
+        w.stop(who, false);
+        stopped[at] = false;
         break;
       case Fault::Cut:
         w.cut = [who](int a, int b) {
@@ -92,7 +101,8 @@
 // Three members at each branch of a tree: what is on the way, and what may happen next.
 struct Branch {
   struct Mail {
-    int from, to;
+    int from;
+    int to;
     std::string bytes;
   };
   struct Post {
@@ -102,13 +112,17 @@
   std::vector<View> views;
   std::vector<Mail> mail;
   Time now{Duration(1'000'000)};
-  bool fault_done = false, cut = false;
-  int up = 3, lost = 0;
+  bool fault_done = false;
+  bool cut = false;
+  int up = 3;
+  int lost = 0;
 
   explicit Branch(std::shared_ptr<Post> p) : post(std::move(p)) {
     for (int i = 0; i < 3; ++i) {
       View::Options o;
-      o.self = at(i), o.others = {at(0), at(1), at(2)}, o.incarnation = 1000,
+      o.self = at(i);
+      o.others = {at(0), at(1), at(2)};
+      o.incarnation = 1000;
       o.seed = static_cast<std::uint64_t>(i);
       views.emplace_back(
           o, now,
@@ -121,7 +135,8 @@
   void deliver(std::size_t which) {
     Mail m = mail[which];
     mail.erase(mail.begin() + static_cast<std::ptrdiff_t>(which));
-    bool dead = m.to >= up || m.from >= up, parted = cut && (m.from == 2) != (m.to == 2);
+    bool dead = m.to >= up || m.from >= up;
+    bool parted = cut && (m.from == 2) != (m.to == 2);
     if (dead || parted)
       return;
     post->mail = &mail;
@@ -181,14 +196,16 @@
   if (!from.mail.empty() && from.lost < 1)
     go([](Branch& b) { b.mail.erase(b.mail.begin()), ++b.lost; });
   go([](Branch& b) { b.pass(350); });
-  if (!from.fault_done)
+  if (!from.fault_done) {
     go([crash](Branch& b) {
       b.fault_done = true;
-      if (crash)
+      if (crash) {
         b.up = 2;
-      else
+      } else {
         b.cut = true;
+      }
     });
+  }
   return leaves;
 }
 
--- a/tests/net/view_test.cpp
+++ b/tests/net/view_test.cpp
@@ -59,8 +59,8 @@
 }  // namespace
 
 TEST_CASE("after crashes, cuts and starts all that live agree again") {
-  for (int n : {3, 8, 40})
-    for (std::uint64_t seed : {1, 2, 3})
+  for (int n : {3, 8, 40}) {
+    for (std::uint64_t seed : {1, 2, 3}) {
       for (double loss :
            {0.0, n > 8 ? 0.05 : 0.2}) {  // with more of both somebody is always in doubt
         INFO(n << " members, seed " << seed << ", loss " << loss);
@@ -89,6 +89,8 @@
         CHECK_FALSE(w.fell);
         CHECK(w.refused == 0);
       }
+    }
+  }
 }
 
 TEST_CASE("a fleet that lacks one part of what it stands on does not settle") {
@@ -105,9 +107,10 @@
     CHECK_FALSE(settles([](ViewWorld& w) {
       w.tamper = [](int, int to, const std::string& bytes) {
         std::string body = bytes.substr(0, kHead);
-        for (std::size_t e = kHead; e + kCheck < bytes.size(); e += kEntry)
+        for (std::size_t e = kHead; e + kCheck < bytes.size(); e += kEntry) {
           if (number_at(bytes, e) != at(to).address)
             body += bytes.substr(e, kEntry);
+        }
         return checked(std::move(body));
       };
     }));
@@ -122,9 +125,10 @@
             body[where + i] = static_cast<char>(first >> (24 - 8 * i) & 0xff);
         };
         lower(6);
-        for (std::size_t e = kHead; e < body.size(); e += kEntry)
+        for (std::size_t e = kHead; e < body.size(); e += kEntry) {
           if (number_at(body, e) == at(from).address)
             lower(e + 7);
+        }
         return checked(std::move(body));
       };
     }));
@@ -191,7 +195,8 @@
     ViewWorld w(n, 9);
     REQUIRE(w.until_agreed(bound(n)) < bound(n));
     w.pass(2 * bound(n));
-    long sent = w.sent, bytes = w.bytes;
+    long sent = w.sent;
+    long bytes = w.bytes;
     w.pass(20'000);
     CHECK(double(w.sent - sent) / n / 20 <= 4);
     CHECK(double(w.bytes - bytes) / n / 20 <= 1024);
@@ -209,7 +214,9 @@
     w.start(i);
   REQUIRE(w.until_agreed(2 * bound(12)) < 2 * bound(12));
   w.view(7).leave(w.now());
-  w.crash(7), w.crash(8), w.crash(1);  // 1 is a seed
+  w.crash(7);
+  w.crash(8);
+  w.crash(1);  // 1 is a seed
   w.pass(50);
   REQUIRE(w.until_agreed(bound(12)) < bound(12));
   CHECK(w.view(3).count(State::Dead) + w.view(3).count(State::Left) == 3);
@@ -279,12 +286,14 @@
     sent.push_back(bytes);
   };
   View::Options o;
-  o.self = at(0), o.others = {at(1)};
+  o.self = at(0);
+  o.others = {at(1)};
   View view(o, Time{}, send, [](const Endpoint&, State, std::uint32_t, bool) {});
   for (int i = 1; sent.empty(); ++i)
     view.tick(Time(Duration(50 * i)));
   View::Options theirs;
-  theirs.self = at(1), theirs.others = {at(0)};
+  theirs.self = at(1);
+  theirs.others = {at(0)};
   View other(theirs, Time{}, send, [](const Endpoint&, State, std::uint32_t, bool) {});
   std::string good = sent[0];
   CHECK(other.take(Time{}, at(0), good));
@@ -293,7 +302,8 @@
   CHECK_FALSE(other.take(Time{}, at(0), good + std::string(300, 'x')));
   CHECK_FALSE(other.take(Time{}, at(1), good));  // from oneself
   for (std::size_t i = 0; i < good.size(); ++i) {
-    std::string cut = good.substr(0, i), spoilt = good;
+    std::string cut = good.substr(0, i);
+    std::string spoilt = good;
     spoilt[i] = static_cast<char>(spoilt[i] ^ 0x10);
     CHECK_FALSE(other.take(Time{}, at(0), cut));
     CHECK_FALSE(other.take(Time{}, at(0), spoilt));
@@ -312,8 +322,10 @@
       body.resize(random() % 3 ? whole : kHead + 8 * kParts);
     for (std::size_t n = random() % 12; n > 0 && !body.empty(); --n)
       body[random() % body.size()] = static_cast<char>(random());
-    if (body.size() > 1)
-      body[0] = 0x22, body[1] = static_cast<char>(random() % 7);
+    if (body.size() > 1) {
+      body[0] = 0x22;
+      body[1] = static_cast<char>(random() % 7);
+    }
     other.take(Time(Duration(i)), at(2 + static_cast<int>(random() % 3)), checked(body));
     loads.take(Time(Duration(i)), random() % 4, body,
                [](const std::string&, int jobs) { REQUIRE(jobs <= kMostThere); });
@@ -337,7 +349,8 @@
   constexpr int kMembers = 60;
   ViewWorld w(kMembers, 3);
   REQUIRE(w.until_agreed(bound_ms(kMembers)) < bound_ms(kMembers));
-  w.loss(0.2), w.suspected = w.died = 0;
+  w.loss(0.2);
+  w.suspected = w.died = 0;
   for (int minute = 0; minute < 3; ++minute) {
     for (int i = 0; i < kMembers / 10; ++i)
       w.stop((minute * 7 + i) % kMembers, true);
--- a/tests/net/watch_crossings_test.cpp
+++ b/tests/net/watch_crossings_test.cpp
@@ -12,8 +12,9 @@
 
 namespace {
 
-constexpr double kCounts = 6000, kStep = 50;  // ms
-constexpr double kAnswer = 20;                // of discovery, to the call that brings the change
+constexpr double kCounts = 6000;
+constexpr double kStep = 50;    // ms
+constexpr double kAnswer = 20;  // of discovery, to the call that brings the change
 
 struct Setting {
   const char* name;
@@ -25,14 +26,18 @@
   struct Line {
     Wire wire;
     protocol::Parser parser{protocol::Parser::Kind::Request};
-    std::optional<transport::Time> asked, until;  // a call that waits here, and when it is over
-    bool silent = false, whole = false, refused = false;  // whole: it asked for all
+    std::optional<transport::Time> asked;
+    std::optional<transport::Time> until;  // a call that waits here, and when it is over
+    bool silent = false;
+    bool whole = false;
+    bool refused = false;  // whole: it asked for all
     int from = 0;
   };
 
   explicit WatchScene(const Setting& setting) : Loopback(12) {
     config = example();
-    config["discovery"] = here.address, config["known"]["targets"][0]["endpoint"] = worker.address;
+    config["discovery"] = here.address;
+    config["known"]["targets"][0]["endpoint"] = worker.address;
     config["settings"]["Balancers"] = setting.balancers;
     config["settings"]["Index"] = setting.balancers - 1;  // whose watch waits longest
     if (setting.pushed)
@@ -61,14 +66,18 @@
 
   bool serve() override {
     bool some = false;
-    for (Door* door : {&here, &there})
+    for (Door* door : {&here, &there}) {
       for (int fd; (fd = door->next()) >= 0; some = true)
         lines.emplace_back().wire.fd = fd;
+    }
     for (Line& line : lines) {
       line.parser.feed(line.wire.pull());
       while (auto m = line.parser.next()) {
-        some = true, line.asked = clock.at, line.refused = clock.at < refuses_until;
-        std::size_t index = m->target.find("index="), wait = m->target.find("wait=");
+        some = true;
+        line.asked = clock.at;
+        line.refused = clock.at < refuses_until;
+        std::size_t index = m->target.find("index=");
+        std::size_t wait = m->target.find("wait=");
         line.whole = index == std::string::npos;
         line.from = line.whole ? 0 : std::stoi(m->target.substr(index + 6));
         line.until =
@@ -98,10 +107,11 @@
 
   std::string list(bool all, bool news) const {
     std::string targets;
-    if (news || all)
+    if (news || all) {
       targets = R"({"uid":"s-a","endpoint":")" + worker.address +
                 R"(","az":"room","model":"std","state":")" + (changed ? "draining" : "up") +
                 R"(","boot_ms":0,"note":{"of":["no","use"]}})";
+    }
     return "{\n  \"rev\": " + std::to_string(revision) +
            ",\n  \"all\": " + (all ? "true" : "false") + ",\n  \"targets\": [" + targets + "]\n}";
   }
@@ -123,11 +133,14 @@
     });
   }
 
-  Door here{host}, there{host}, worker{host};
+  Door here{host};
+  Door there{host};
+  Door worker{host};
   Json::Value config;
   std::list<Line> lines;
   int revision = 5;
-  bool changed = false, whole_lists = false;
+  bool changed = false;
+  bool whole_lists = false;
   transport::Time refuses_until{};
 };
 
@@ -208,7 +221,8 @@
   second.happens(s);
   // The change: known to discovery from here on, which can be reached once it refuses nobody any
   // more.
-  s.changed = true, ++s.revision;
+  s.changed = true;
+  ++s.revision;
   transport::Time since = std::max(s.clock.at, s.refuses_until);
   s.settle();
   while (!s.app->router().avoids("s-a") && s.clock.at - since < transport::Duration(2 * kCounts))
@@ -231,12 +245,15 @@
   double longest = 0;
   for (const Setting& setting :
        {Setting{"asked, few dispatchers", 3, false}, Setting{"asked, 300", 300, false},
-        Setting{"pushed, 300", 300, true}})
-    for (const Event& first : events())
-      for (const Event& second : events())
+        Setting{"pushed, 300", 300, true}}) {
+    for (const Event& first : events()) {
+      for (const Event& second : events()) {
         for (double apart : {0.0, kStep, 1000.0}) {
           INFO(setting.name << ": " << first.name << ", " << apart << " ms later: " << second.name);
           longest = std::max(longest, play(setting, first, second, apart));
         }
+      }
+    }
+  }
   WARN("a change counted " << longest << " ms later at the most");
 }
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -60,7 +60,8 @@
   Effect effect;
   Group group;
   Outcome outcome;
-  int zone, cell;  // of the only other worker; the first is in zone 0, cell 0
+  int zone;
+  int cell;  // of the only other worker; the first is in zone 0, cell 0
   bool resent;
 };
 
@@ -182,14 +183,19 @@
   std::vector<int> calls(200);
   for (int index = 0; index < 100; ++index) {
     Settings set = settings();
-    set.must_subscribe = true, set.must_ask_in = Duration(10000);
-    set.balancers = 100, set.index = index, set.seed = 1000 + index;
+    set.must_subscribe = true;
+    set.must_ask_in = Duration(10000);
+    set.balancers = 100;
+    set.index = index;
+    set.seed = 1000 + index;
     Scene s(set);
     s.list(std::vector<WorkerEntry>(list_held ? 1 : 0, s.worker("a")), ListKind::Persisted);
     bool asked = !s.of(ActionKind::Subscribe).empty();
     for (int& now : calls) {
-      if (asked)
-        ++now, s.list({}, ListKind::Error);
+      if (asked) {
+        ++now;
+        s.list({}, ListKind::Error);
+      }
       s.pass(100);
       asked = !s.of(ActionKind::Subscribe).empty();
     }
@@ -214,16 +220,18 @@
 // they may send. Each starts again every so many ms, as a process that knows nothing of the one
 // before.
 struct MostInASpan {
-  double of_budget = 0,
-         of_fall = 0;  // of what the settings allow, N requests, and of N + 2 x root of N + 2
+  double of_budget = 0;
+  double of_fall = 0;  // of what the settings allow, N requests, and of N + 2 x root of N + 2
 };
 MostInASpan most_in_a_span(int balancers, double hint, double restart_every = 1e9) {
   std::vector<std::pair<double, double>> sent;
   const Time begin{Duration(1000000)};
   for (int index = 0; index < balancers; ++index) {
     Settings set = settings(Effect::Unsafe);
-    set.balancers = balancers, set.index = index;
-    set.classes[0].aim = Duration(1e6), set.classes[0].deadline = Duration(1e6);
+    set.balancers = balancers;
+    set.index = index;
+    set.classes[0].aim = Duration(1e6);
+    set.classes[0].deadline = Duration(1e6);
     std::unique_ptr<Scene> s;
     auto note_sent = [&] {
       for (const Action& a : s->of(ActionKind::Send)) {
@@ -273,7 +281,7 @@
 }
 
 TEST(Cold, ANewProcessLeavesRoomForWhatItsPredecessorMayHaveSent) {
-  for (int balancers : {1, 2, 3, 7, 14})
+  for (int balancers : {1, 2, 3, 7, 14}) {
     for (double every : {1300, 1700, 2900}) {
       MostInASpan used = most_in_a_span(balancers, 40, every);
       EXPECT_LE(used.of_fall, 1.0) << balancers << " started again every " << every;
@@ -281,6 +289,7 @@
           << balancers << " started again every " << every;  // it grows in a span
       EXPECT_GT(used.of_budget, 0.1) << balancers << ": a cold worker must get something";
     }
+  }
 }
 
 TEST(Cold, OneHeavyJobDoesNotSpendTheWholeBudget) {
@@ -335,7 +344,8 @@
 
 TEST(Cold, RestartUnderTheSameIdIsColdAgain) {
   Settings set = settings(Effect::Unsafe);
-  set.balancers = 4, set.index = 3;
+  set.balancers = 4;
+  set.index = 3;
   Scene s(set);
   s.list({s.worker("a")});
   s.request(1, 400);
@@ -353,7 +363,8 @@
 
 TEST(Cold, BackFromSilenceIsColdUntilShownOtherwise) {
   Settings set = settings(Effect::Unsafe);
-  set.may_probe = true, set.balancers = 4;
+  set.may_probe = true;
+  set.balancers = 4;
   Scene s(set);
   s.list({s.worker("a")});
   s.request(1, 10);
--- a/tests/support.h
+++ b/tests/support.h
@@ -47,7 +47,10 @@
   WorkerEntry worker(std::string_view name, int zone = 0, int cell = 0,
                      Readiness readiness = Readiness::Ready) {
     WorkerEntry e;
-    e.worker = name, e.zone = zone, e.cell = cell, e.readiness = readiness;
+    e.worker = name;
+    e.zone = zone;
+    e.cell = cell;
+    e.readiness = readiness;
     return e;
   }
   void list(const std::vector<WorkerEntry>& entries, ListKind kind = ListKind::Complete) {
@@ -58,7 +61,10 @@
                std::size_t tenant = 0) {
     actions.clear();
     Request r;
-    r.id = id, r.patience = Duration(patience), r.hint = Duration(hint), r.slots = slots,
+    r.id = id;
+    r.patience = Duration(patience);
+    r.hint = Duration(hint);
+    r.slots = slots;
     r.tenant = tenant;
     dispatcher_.on_request(now, r, actions);
   }
@@ -99,15 +105,17 @@
   // was not sent.
   std::string sent_to(RequestId id) {
     std::string worker;
-    for (const Action& a : of(ActionKind::Send))
+    for (const Action& a : of(ActionKind::Send)) {
       if (a.id == id)
         attempt_worker[{id, attempts[id]++}] = worker = a.worker;
+    }
     return worker;
   }
   bool answered(RequestId id, ActionKind kind) {
-    for (const Action& a : of(kind))
+    for (const Action& a : of(kind)) {
       if (a.id == id)
         return true;
+    }
     return false;
   }
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -23,9 +23,10 @@
 std::string feed(Host& host, const std::string& text) {
   std::istringstream in(text);
   std::string reply;
-  for (std::string line; std::getline(in, line);)
+  for (std::string line; std::getline(in, line);) {
     if (host.line(line))
       reply = host.reply();
+  }
   return reply;
 }
 
@@ -83,7 +84,8 @@
 }
 
 TEST(Wire, TheRetryBudgetIsReadWhereGiven) {
-  stagehinge::Settings s, none;
+  stagehinge::Settings s;
+  stagehinge::Settings none;
   read_settings(
       "Invariants.BudgetFree=2.0 Invariants.ExtraPerRequest=0.25 Invariants.ExtraWindowMs=4000.0",
       s);
@@ -125,8 +127,10 @@
   std::string first = reply.find("RELAY 00000000000000aa a:1") != std::string::npos ? "a:1" : "b:1";
   std::size_t message = reply.find("BROADCAST_TO 1 11");  // one job
   ASSERT_NE(message, std::string::npos) << reply;
-  std::string entry = reply.substr(message + 17, 4), other = first == "a:1" ? "b:1" : "a:1";
-  std::string whisper = "TARGET_INSTANCE scheduler/1\nWHISPER 0 ", at_other;
+  std::string entry = reply.substr(message + 17, 4);
+  std::string other = first == "a:1" ? "b:1" : "a:1";
+  std::string whisper = "TARGET_INSTANCE scheduler/1\nWHISPER 0 ";
+  std::string at_other;
   for (std::string jobs : {"10", "13"}) {  // none there; more than its slots
     Host hears;
     feed(hears, "CLOCK 1000 1\n" + launch(1) + "GO\n");
@@ -149,10 +153,11 @@
       << reply;  // one that fell waits for the next
   reply = feed(host, "CLOCK 1340 4\nTARGET_INSTANCE scheduler/0\nWAKEUP 1\nGO\n");
   EXPECT_NE(reply.find("BROADCAST_TO 1 10" + entry), std::string::npos) << reply;
-  for (const char* bad : {"WHISPER 0 1", "WHISPER 0 zz", "WHISPER x 10"})
+  for (const char* bad : {"WHISPER 0 1", "WHISPER 0 zz", "WHISPER x 10"}) {
     EXPECT_THROW(
         feed(host, std::string("CLOCK 1350 5\nTARGET_INSTANCE scheduler/1\n") + bad + "\nGO\n"),
         Malformed);
+  }
 }
 
 TEST(Wire, SettingsAreReadAndUnknownOnesPassedOver) {
--- a/tests/world_test.cpp
+++ b/tests/world_test.cpp
@@ -9,12 +9,14 @@
 namespace {
 
 FleetCounts scene(const std::string& name, bool news = true, bool thinks_alone = false) {
-  for (const FleetScene& s : fleet_scenes())
+  for (const FleetScene& s : fleet_scenes()) {
     if (s.name == name) {
       FleetWorld::Options o;
-      o.news = news, o.thinks_alone = thinks_alone;
+      o.news = news;
+      o.thinks_alone = thinks_alone;
       return play(s, o);
     }
+  }
   throw std::invalid_argument(name);
 }
 
@@ -23,7 +25,8 @@
 }
 
 TEST(World, TheSameSeedGivesTheSameCounts) {
-  FleetCounts a = scene("uneven"), b = scene("uneven");
+  FleetCounts a = scene("uneven");
+  FleetCounts b = scene("uneven");
   EXPECT_EQ(a.served, b.served);
   EXPECT_EQ(a.attempts, b.attempts);
   EXPECT_EQ(a.messages, b.messages);
@@ -46,7 +49,11 @@
 TEST(World, WhatAFleetCostsStaysBounded) {
   struct Row {
     const char* name;
-    double failed, late_or_refused, attempts, probes, after_first;  // the first four for each order
+    double failed;
+    double late_or_refused;
+    double attempts;
+    double probes;
+    double after_first;  // the first four for each order
   };
   double cold_alone = 0;
   for (Row row :
@@ -74,7 +81,9 @@
 // them knows what has been sent there before. All together stay within what their holders may send.
 FleetCounts cold(int dispatchers, int workers, bool restart, bool thinks_alone = false) {
   FleetWorld::Options o;
-  o.dispatchers = dispatchers, o.workers = workers, o.thinks_alone = thinks_alone;
+  o.dispatchers = dispatchers;
+  o.workers = workers;
+  o.thinks_alone = thinks_alone;
   o.load = dispatchers == 300 ? 0.9 : 1.6;
   FleetWorld w(o);
   for (int i = 0; i < workers * 2 / 3; ++i)
@@ -128,13 +137,17 @@
 // of its own jobs. A burst left all of them sure of a full fleet: who begins nothing hears of
 // nothing, and so it stayed.
 TEST(World, AFleetThatHearsOfLoadWithTheEndsAloneComesOutOfABurst) {
-  for (std::uint64_t seed : {1, 2})
-    for (int dispatchers : {6, 30})
+  for (std::uint64_t seed : {1, 2}) {
+    for (int dispatchers : {6, 30}) {
       for (bool probes : {false, true}) {
         FleetWorld::Options o;
-        o.dispatchers = dispatchers, o.workers = dispatchers == 6 ? 12 : 30, o.slots = 2,
+        o.dispatchers = dispatchers;
+        o.workers = dispatchers == 6 ? 12 : 30;
+        o.slots = 2;
         o.load = 0.5;
-        o.seed = seed, o.bare = true, o.probes = probes;
+        o.seed = seed;
+        o.bare = true;
+        o.probes = probes;
         FleetWorld w(o);
         w.at(5, [&w] { w.load(2.2); });
         w.at(9, [&w] { w.load(1); });
@@ -142,6 +155,8 @@
         EXPECT_GT(w.counts().share(15, 25), 0.95) << dispatchers << probes;  // it was 0.29 to 0.81
         EXPECT_EQ(w.counts().fallen, 0);
       }
+    }
+  }
 }
 
 TEST(World, WhatOneHasLearnedTheOthersKnowBeforeDiscoveryWould) {
@@ -152,7 +167,9 @@
 }
 
 TEST(World, NewsSaveProbesAndLosingHalfOfThemDoesLittleHarm) {
-  FleetCounts with = scene("calm"), without = scene("calm", false), lossy = scene("lossy");
+  FleetCounts with = scene("calm");
+  FleetCounts without = scene("calm", false);
+  FleetCounts lossy = scene("lossy");
   EXPECT_LT(2 * each(with.probes, with), each(without.probes, without));
   EXPECT_LT(each(lossy.probes, lossy), 1.5 * each(with.probes, with));
   EXPECT_LE(with.bytes, 255 * with.messages);
