--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -1,13 +1,14 @@
 // What a fleet of a hundred dispatchers costs and how soon it learns: a table of counts over the
-// scenes of lab/fleet_scenes.h, with news between dispatchers and without, and with a bad variant.
+// scenes of testbed/fleet_scenes.h, with news between dispatchers and without, and with a bad
+// variant.
 //
-//     oatledge_bench_fleet [SEED]
+//     dispatcher_bench_fleet [SEED]
 #include <cstdio>
 #include <string>
 
-#include "../lab/fleet_scenes.h"
+#include "testbed/simulation/fleet_scenarios.h"
 
-using namespace oatledge::lab;
+using namespace dispatcher::testbed;
 
 int main(int argc, char** argv) {
   std::uint64_t seed = argc > 1 ? std::stoull(argv[1]) : 1;
--- a/bench/jam.cpp
+++ b/bench/jam.cpp
@@ -1,13 +1,13 @@
 // How long a fleet takes to come out of a jam: share of the orders in time by the second in which
 // they came, and the time from the end of the fault until that is back at 95% of what it was.
 //
-//     oatledge_bench_jam [SEEDS]
+//     dispatcher_bench_jam [SEEDS]
 #include <cstdio>
 #include <string>
 
-#include "../lab/fleet_scenes.h"
+#include "testbed/simulation/fleet_scenarios.h"
 
-using namespace oatledge::lab;
+using namespace dispatcher::testbed;
 
 int main(int argc, char** argv) {
   int seeds = argc > 1 ? std::stoi(argv[1]) : 1;
--- a/bench/operations.cpp
+++ b/bench/operations.cpp
@@ -2,16 +2,16 @@
 // silent callers there do to orders and to other callers. Figures are ratios of alternating rounds
 // in one run; a table goes to standard output.
 //
-//     oatledge_bench_operations PROGRAM CONFIG [ROUNDS]
+//     dispatcher_bench_operations PROGRAM CONFIG [ROUNDS]
 #include <algorithm>
 #include <atomic>
 #include <chrono>
 #include <cstdio>
 #include <filesystem>
 
-#include "../lab/standins.h"
+#include "testbed/stubs/stubs.h"
 
-using namespace oatledge::lab;
+using namespace dispatcher::testbed;
 
 namespace {
 
@@ -86,7 +86,7 @@
 
 int main(int argc, char** argv) try {
   if (argc < 3)
-    throw std::runtime_error("usage: oatledge_bench_operations PROGRAM CONFIG [ROUNDS]");
+    throw std::runtime_error("usage: dispatcher_bench_operations PROGRAM CONFIG [ROUNDS]");
   int rounds = argc > 3 ? std::stoi(argv[3]) : 7;
   Rig rig(argv[1], argv[2]);
   const std::string operators = rig.dispatcher.operators();
@@ -133,6 +133,6 @@
               silent_descriptors);
   return 0;
 } catch (const std::exception& e) {
-  std::fprintf(stderr, "oatledge_bench_operations: %s\n", e.what());
+  std::fprintf(stderr, "dispatcher_bench_operations: %s\n", e.what());
   return 1;
 }
--- a/bench/streaming.cpp
+++ b/bench/streaming.cpp
@@ -2,7 +2,7 @@
 // CPU for a small order. Figures are ratios of alternating rounds in one run; a table goes to
 // standard output.
 //
-//     oatledge_bench_streaming PROGRAM CONFIG [--part memory|throughput|beside|cpu]... [--old
+//     dispatcher_bench_streaming PROGRAM CONFIG [--part memory|throughput|beside|cpu]... [--old
 //     PROGRAM] [--mb 50]
 #include <sched.h>
 
@@ -11,9 +11,9 @@
 #include <cstring>
 #include <numeric>
 
-#include "../lab/standins.h"
+#include "testbed/stubs/stubs.h"
 
-using namespace oatledge::lab;
+using namespace dispatcher::testbed;
 
 namespace {
 
@@ -272,7 +272,7 @@
 int main(int argc, char** argv) try {
   if (argc < 3) {
     throw std::runtime_error(
-        "usage: oatledge_bench_streaming PROGRAM CONFIG [--part NAME] [--old PROGRAM] [--mb N]");
+        "usage: dispatcher_bench_streaming PROGRAM CONFIG [--part NAME] [--old PROGRAM] [--mb N]");
   }
   std::string program = argv[1];
   std::string config = argv[2];
--- a/bench/view.cpp
+++ b/bench/view.cpp
@@ -1,8 +1,8 @@
 // How soon all members of a fleet hold one view again, and what the view costs each, in virtual
 // time.
 //
-//     oatledge_bench_view [MEMBERS...]     16 100 300 1000
-//     oatledge_bench_view --hour           an hour at a fifth of all messages lost, a tenth of a
+//     dispatcher_bench_view [MEMBERS...]     16 100 300 1000
+//     dispatcher_bench_view --hour           an hour at a fifth of all messages lost, a tenth of a
 //     hundred members stopped
 //                                          for a second each minute: how often somebody is held
 //                                          suspect or dead
@@ -10,9 +10,9 @@
 #include <cstdio>
 #include <string>
 
-#include "../lab/view_world.h"
+#include "testbed/simulation/membership_simulation.h"
 
-using namespace oatledge::lab;
+using namespace dispatcher::testbed;
 
 namespace {
 
--- a/include/stagehinge/dispatcher.h
+++ b/include/dispatcher/scheduling/scheduler.h
@@ -1,4 +1,4 @@
-// The interface of stagehinge: settings, events, actions and the class Dispatcher.
+// The interface of the scheduling library: settings, events, actions and the class Dispatcher.
 // Sans-I/O: the caller feeds events and carries out the actions that come back at once. The time
 // given with an event is the one at which it is fed, also after a stall, when the event itself is
 // older.
@@ -12,7 +12,7 @@
 #include <string_view>
 #include <vector>
 
-namespace stagehinge {
+namespace dispatcher::scheduling {
 
 using Duration = std::chrono::duration<double, std::milli>;
 using Time = std::chrono::time_point<std::chrono::steady_clock, Duration>;
@@ -237,4 +237,4 @@
   double bent_ = 0;
 };
 
-}  // namespace stagehinge
+}  // namespace dispatcher::scheduling
--- a/src/features/features.cpp
+++ b/src/features/features.cpp
@@ -1,14 +1,14 @@
-#include "features.h"
+#include "features/features.h"
 
 #include <google/protobuf/text_format.h>
 
 #include <fstream>
 #include <iterator>
 
-#include "../fleet/view.h"
-#include "../settings/faults.h"
+#include "fleet/membership_view.h"
+#include "settings/parse_error_collector.h"
 
-namespace oatledge::features {
+namespace dispatcher::features {
 namespace {
 
 using google::protobuf::TextFormat;
@@ -113,4 +113,4 @@
   return read_features(text, path);
 }
 
-}  // namespace oatledge::features
+}  // namespace dispatcher::features
--- a/src/features/features.h
+++ b/src/features/features.h
@@ -7,7 +7,7 @@
 
 #include "features.pb.h"
 
-namespace oatledge::features {
+namespace dispatcher::features {
 
 struct BadFeatures : std::runtime_error {  // one line for each fault: file:line:column: what
   using std::runtime_error::runtime_error;
@@ -17,4 +17,4 @@
 Features read_features(const std::string& text, const std::string& name);
 Features read_features_file(const std::string& path);
 
-}  // namespace oatledge::features
+}  // namespace dispatcher::features
--- a/src/fleet/bytes.h
+++ b/src/fleet/byte_order.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <string_view>
 
-#include "view.h"
+#include "fleet/membership_view.h"
 
-namespace oatledge::fleet {
+namespace dispatcher::fleet {
 
 inline void put(std::string& out, std::uint64_t value, int bytes) {
   for (int i = bytes - 1; i >= 0; --i)
@@ -28,4 +28,4 @@
           static_cast<std::uint16_t>(get(in, at + 4, 2))};
 }
 
-}  // namespace oatledge::fleet
+}  // namespace dispatcher::fleet
--- a/src/fleet/udp_peers.cpp
+++ b/src/fleet/fleet_socket.cpp
@@ -1,8 +1,8 @@
-#include "udp_peers.h"
+#include "fleet/fleet_socket.h"
 
 #include <json/json.h>
 
-namespace oatledge::fleet {
+namespace dispatcher::fleet {
 namespace {
 
 constexpr transport::Duration kSweep{1000};
@@ -253,4 +253,4 @@
     router_->peers_have(instance, jobs);
 }
 
-}  // namespace oatledge::fleet
+}  // namespace dispatcher::fleet
--- a/src/fleet/udp_peers.h
+++ b/src/fleet/fleet_socket.h
@@ -4,15 +4,15 @@
 
 #include <unordered_map>
 
-#include "../operations/calls.h"
-#include "../operations/log.h"
-#include "../routing/router.h"
-#include "../transport/datagrams.h"
-#include "loads.h"
-#include "seal.h"
-#include "view.h"
+#include "fleet/load_gossip.h"
+#include "fleet/membership_view.h"
+#include "fleet/message_authenticator.h"
+#include "operations/admin_handler.h"
+#include "operations/log.h"
+#include "routing/router.h"
+#include "transport/datagrams.h"
 
-namespace oatledge::fleet {
+namespace dispatcher::fleet {
 
 class UdpPeers final : public routing::PeerSide {
  public:
@@ -86,4 +86,4 @@
   transport::Deadlines::Handle late_;  // late: for counts that fell
 };
 
-}  // namespace oatledge::fleet
+}  // namespace dispatcher::fleet
--- a/src/fleet/keys.cpp
+++ b/src/fleet/key_file.cpp
@@ -1,4 +1,4 @@
-#include "keys.h"
+#include "fleet/key_file.h"
 
 #include <fcntl.h>
 #include <google/protobuf/text_format.h>
@@ -8,11 +8,11 @@
 
 #include <set>
 
-#include "../settings/faults.h"
-#include "../transport/descriptor.h"
 #include "keys.pb.h"
+#include "settings/parse_error_collector.h"
+#include "transport/descriptor.h"
 
-namespace oatledge::fleet {
+namespace dispatcher::fleet {
 namespace {
 
 constexpr std::size_t kLongestFile = 1 << 16;
@@ -87,4 +87,4 @@
   return "key { id: " + std::to_string(id) + " secret: \"" + hex + "\" }\n";
 }
 
-}  // namespace oatledge::fleet
+}  // namespace dispatcher::fleet
--- a/src/fleet/keys.h
+++ b/src/fleet/key_file.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
-#include "seal.h"
+#include "fleet/message_authenticator.h"
 
-namespace oatledge::fleet {
+namespace dispatcher::fleet {
 
 struct BadKeys : std::runtime_error {  // file:line:column: what
   using std::runtime_error::runtime_error;
@@ -17,4 +17,4 @@
 std::vector<Key> read_keys_file(const std::string& path);
 std::string new_key(unsigned id);  // the text of one, from the system's randomness
 
-}  // namespace oatledge::fleet
+}  // namespace dispatcher::fleet
--- a/src/fleet/loads.cpp
+++ b/src/fleet/load_gossip.cpp
@@ -1,4 +1,4 @@
-#include "loads.h"
+#include "fleet/load_gossip.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <optional>
 
-namespace oatledge::fleet {
+namespace dispatcher::fleet {
 namespace {
 
 constexpr unsigned kVersion = 1;
@@ -230,4 +230,4 @@
   }
 }
 
-}  // namespace oatledge::fleet
+}  // namespace dispatcher::fleet
--- a/src/fleet/loads.h
+++ b/src/fleet/load_gossip.h
@@ -9,7 +9,7 @@
 // and nothing else.
 #pragma once
 
-#include <stagehinge/dispatcher.h>
+#include "dispatcher/scheduling/scheduler.h"
 
 #include <cstdint>
 #include <functional>
@@ -20,10 +20,10 @@
 #include <unordered_map>
 #include <vector>
 
-namespace oatledge::fleet {
+namespace dispatcher::fleet {
 
-using stagehinge::Duration;
-using stagehinge::Time;
+using scheduling::Duration;
+using scheduling::Time;
 
 // The numbers of the `dispatchers` that are near to a worker: they look at it first, and tell each
 // other what they have there. The same wherever it is asked, as many for each worker, and about as
@@ -104,4 +104,4 @@
   std::unordered_map<std::size_t, int> of_one_;  // jobs believed, by sender
 };
 
-}  // namespace oatledge::fleet
+}  // namespace dispatcher::fleet
--- a/src/fleet/view.cpp
+++ b/src/fleet/membership_view.cpp
@@ -1,4 +1,4 @@
-#include "view.h"
+#include "fleet/membership_view.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -8,9 +8,9 @@
 #include <cmath>
 #include <utility>
 
-#include "bytes.h"
+#include "fleet/byte_order.h"
 
-namespace oatledge::fleet {
+namespace dispatcher::fleet {
 namespace {
 
 constexpr unsigned char kVersion = 0x22;
@@ -557,4 +557,4 @@
   }
 }
 
-}  // namespace oatledge::fleet
+}  // namespace dispatcher::fleet
--- a/src/fleet/view.h
+++ b/src/fleet/membership_view.h
@@ -19,7 +19,7 @@
 //   against malice
 #pragma once
 
-#include <stagehinge/dispatcher.h>
+#include "dispatcher/scheduling/scheduler.h"
 
 #include <array>
 #include <cstdint>
@@ -33,10 +33,10 @@
 #include <string_view>
 #include <vector>
 
-namespace oatledge::fleet {
+namespace dispatcher::fleet {
 
-using stagehinge::Duration;
-using stagehinge::Time;
+using scheduling::Duration;
+using scheduling::Time;
 
 struct Endpoint {  // an IPv4 address and port, host order
   std::uint32_t address = 0;
@@ -172,4 +172,4 @@
   bool left_ = false;
 };
 
-}  // namespace oatledge::fleet
+}  // namespace dispatcher::fleet
--- a/src/fleet/seal.cpp
+++ b/src/fleet/message_authenticator.cpp
@@ -1,13 +1,13 @@
-#include "seal.h"
+#include "fleet/message_authenticator.h"
 
 #include <sodium.h>
 
 #include <algorithm>
 #include <stdexcept>
 
-#include "bytes.h"
+#include "fleet/byte_order.h"
 
-namespace oatledge::fleet {
+namespace dispatcher::fleet {
 namespace {
 
 constexpr unsigned char kSealed = 0x31;
@@ -125,4 +125,4 @@
   return true;
 }
 
-}  // namespace oatledge::fleet
+}  // namespace dispatcher::fleet
--- a/src/fleet/seal.h
+++ b/src/fleet/message_authenticator.h
@@ -14,9 +14,9 @@
 #include <string_view>
 #include <vector>
 
-#include "view.h"
+#include "fleet/membership_view.h"
 
-namespace oatledge::fleet {
+namespace dispatcher::fleet {
 
 struct Key {
   std::uint8_t id = 0;
@@ -60,4 +60,4 @@
   std::map<Endpoint, Seen> seen_;
 };
 
-}  // namespace oatledge::fleet
+}  // namespace dispatcher::fleet
--- a/src/handover/succession.cpp
+++ b/src/hot_restart/ownership.cpp
@@ -1,6 +1,6 @@
-#include "succession.h"
+#include "hot_restart/ownership.h"
 
-namespace oatledge::handover {
+namespace dispatcher::hot_restart {
 
 Elder::Do Elder::hello(std::uint32_t version, const Who& who) {
   if (state_ != State::Alone)
@@ -72,4 +72,4 @@
   return Do::ServeAlone;
 }
 
-}  // namespace oatledge::handover
+}  // namespace dispatcher::hot_restart
--- a/src/handover/succession.h
+++ b/src/hot_restart/ownership.h
@@ -9,7 +9,7 @@
 #include <cstdint>
 #include <string>
 
-namespace oatledge::handover {
+namespace dispatcher::hot_restart {
 
 constexpr std::uint32_t kVersion = 1;
 
@@ -61,4 +61,4 @@
   State state_ = State::Asking;
 };
 
-}  // namespace oatledge::handover
+}  // namespace dispatcher::hot_restart
--- a/src/http/ask.cpp
+++ b/src/http/admin_client.cpp
@@ -1,13 +1,13 @@
-#include "ask.h"
+#include "http/admin_client.h"
 
 #include <gio/gio.h>
 
 #include <stdexcept>
 
-#include "../protocol/http.h"
-#include "../transport/glib.h"
+#include "protocol/http.h"
+#include "transport/glib.h"
 
-namespace oatledge::http {
+namespace dispatcher::http {
 namespace {
 
 [[noreturn]] void fail(const std::string& address, const transport::Error& error) {
@@ -47,4 +47,4 @@
   }
 }
 
-}  // namespace oatledge::http
+}  // namespace dispatcher::http
--- a/src/http/ask.h
+++ b/src/http/admin_client.h
@@ -3,10 +3,10 @@
 
 #include <string>
 
-namespace oatledge::http {
+namespace dispatcher::http {
 
 // The body of the answer to GET `target`. Throws std::runtime_error, with one line, where nothing
 // answers in five seconds or the answer is not 200.
 std::string ask(const std::string& address, const std::string& target);
 
-}  // namespace oatledge::http
+}  // namespace dispatcher::http
--- a/src/http/ops_front.cpp
+++ b/src/http/admin_server.cpp
@@ -1,6 +1,6 @@
-#include "ops_front.h"
+#include "http/admin_server.h"
 
-namespace oatledge::http {
+namespace dispatcher::http {
 
 using transport::SlotRef;
 
@@ -72,4 +72,4 @@
   return false;
 }
 
-}  // namespace oatledge::http
+}  // namespace dispatcher::http
--- a/src/http/ops_front.h
+++ b/src/http/admin_server.h
@@ -4,12 +4,12 @@
 
 #include <map>
 
-#include "../operations/calls.h"
-#include "../operations/log.h"
-#include "../transport/deadlines.h"
-#include "../transport/network.h"
+#include "operations/admin_handler.h"
+#include "operations/log.h"
+#include "transport/deadlines.h"
+#include "transport/network.h"
 
-namespace oatledge::http {
+namespace dispatcher::http {
 
 class OpsFront final : public transport::Acceptor {
  public:
@@ -41,4 +41,4 @@
   std::uint64_t placed_ = 0;
 };
 
-}  // namespace oatledge::http
+}  // namespace dispatcher::http
--- a/src/http/http_front.cpp
+++ b/src/http/client_server.cpp
@@ -1,8 +1,8 @@
-#include "http_front.h"
+#include "http/client_server.h"
 
 #include <cstdio>
 
-namespace oatledge::http {
+namespace dispatcher::http {
 
 using protocol::Headers;
 using protocol::Message;
@@ -177,12 +177,12 @@
     return reject(at, 400, e.what());
   }
   auto waited = on_.clock.now() - arrived(sessions_.at(at));
-  command.request.patience = std::max(stagehinge::Duration(0), command.request.patience - waited);
+  command.request.patience = std::max(scheduling::Duration(0), command.request.patience - waited);
   if (streamed) {
     command.fields = std::move(fields);
     stretch_patience(command.request);
   }
-  stagehinge::Request request = command.request;
+  scheduling::Request request = command.request;
   if (stage_ == Stage::Ending) {
     router_->count_nack(request.job_class);
     return respond(at, 503, {}, "this dispatcher ends");
@@ -248,7 +248,7 @@
   p.report = n.report;
   p.result = std::move(n.result);
   using What = protocol::News::What;
-  using stagehinge::Outcome;
+  using scheduling::Outcome;
   p.started = n.what == What::Started;
   p.progress = n.what == What::Progress;
   p.outcome = n.what == What::Done       ? Outcome::Success
@@ -314,7 +314,7 @@
   begin_reply(at, s, std::move(reply));
 }
 
-void HttpFront::nack(routing::CommandRef command, stagehinge::Duration retry_after) {
+void HttpFront::nack(routing::CommandRef command, scheduling::Duration retry_after) {
   Headers headers;
   if (retry_after.count() > 0) {
     char seconds[32];
@@ -473,4 +473,4 @@
   }
 }
 
-}  // namespace oatledge::http
+}  // namespace dispatcher::http
--- a/src/http/http_front.h
+++ b/src/http/client_server.h
@@ -5,11 +5,11 @@
 #include <deque>
 #include <map>
 
-#include "../routing/router.h"
-#include "platform.h"
-#include "streams.h"
+#include "http/platform.h"
+#include "http/streams.h"
+#include "routing/router.h"
 
-namespace oatledge::http {
+namespace dispatcher::http {
 
 struct HttpCargo final : routing::Cargo {
   explicit HttpCargo(protocol::ClientCommand c) : command(std::move(c)) {}
@@ -72,7 +72,7 @@
   bool shed_idle() override;
 
   void served(routing::CommandRef command, routing::Reply reply) override;
-  void nack(routing::CommandRef command, stagehinge::Duration retry_after) override;
+  void nack(routing::CommandRef command, scheduling::Duration retry_after) override;
   void failed(routing::CommandRef command) override;
 
  private:
@@ -122,7 +122,7 @@
   void handle(transport::SlotRef connection, protocol::Message message);
   void take_command(transport::SlotRef connection, protocol::Message message);
   bool give_pipes(HttpCargo& cargo, bool uploads);
-  void stretch_patience(stagehinge::Request& request) const;
+  void stretch_patience(scheduling::Request& request) const;
   void begin_upload(transport::SlotRef connection, Session& s,
                     std::shared_ptr<streaming::Pipe> upload, std::string_view first, bool expects);
   void upload_room(transport::SlotRef connection);
@@ -165,4 +165,4 @@
   std::function<bool(const protocol::News&)> ward_news_;
 };
 
-}  // namespace oatledge::http
+}  // namespace dispatcher::http
--- a/src/http/front_streams.cpp
+++ b/src/http/client_server_streams.cpp
@@ -1,8 +1,8 @@
 // The client side of bodies that pass through: a client is the source of its upload and the sink of
 // its reply.
-#include "http_front.h"
+#include "http/client_server.h"
 
-namespace oatledge::http {
+namespace dispatcher::http {
 
 using protocol::Framing;
 using protocol::Headers;
@@ -25,8 +25,8 @@
 
 // A deadline beyond the class's is for the way of the body: the module counts with the class's
 // patience.
-void HttpFront::stretch_patience(stagehinge::Request& request) const {
-  stagehinge::Duration left = std::min(request.patience, on_streams_->longest);
+void HttpFront::stretch_patience(scheduling::Request& request) const {
+  scheduling::Duration left = std::min(request.patience, on_streams_->longest);
   request.streamed = true;
   request.patience = std::min(left, on_.words.deadlines[request.job_class]);
   request.transfer = left - request.patience;
@@ -249,4 +249,4 @@
   on_.network.bulk(at, false);
 }
 
-}  // namespace oatledge::http
+}  // namespace dispatcher::http
--- a/src/http/http_names.cpp
+++ b/src/http/discovery_client.cpp
@@ -1,6 +1,6 @@
-#include "http_names.h"
+#include "http/discovery_client.h"
 
-namespace oatledge::http {
+namespace dispatcher::http {
 namespace {
 
 // A change counts as told 6 s after discovery had it and could be reached, whatever became of the
@@ -109,7 +109,7 @@
   if (!stands_)
     hang_up();
   ask();  // first: a watch ends when its next call is late
-  changed_(list.whole ? stagehinge::ListKind::Complete : stagehinge::ListKind::Partial, list);
+  changed_(list.whole ? scheduling::ListKind::Complete : scheduling::ListKind::Partial, list);
 }
 
 void HttpNames::on_closed(transport::SlotRef at, bool all_written) {
@@ -129,7 +129,7 @@
   asking_ = false;
   if (options_.retries)
     late_ = on_.deadlines.add(on_.clock.now() + kPause, [this] { watch(); });
-  changed_(stagehinge::ListKind::Error, {});
+  changed_(scheduling::ListKind::Error, {});
 }
 
 void HttpNames::hang_up() {
@@ -140,4 +140,4 @@
   connection_.reset();
 }
 
-}  // namespace oatledge::http
+}  // namespace dispatcher::http
--- a/src/http/http_names.h
+++ b/src/http/discovery_client.h
@@ -1,10 +1,10 @@
 // The name table over HTTP: one watch on discovery, each call following the last answer at once.
 #pragma once
 
-#include "../routing/ports.h"
-#include "platform.h"
+#include "http/platform.h"
+#include "routing/ports.h"
 
-namespace oatledge::http {
+namespace dispatcher::http {
 
 class HttpNames final : public transport::ConnectionHandler, public routing::NameTableSide {
  public:
@@ -17,7 +17,7 @@
 
   void trace(std::function<void(const std::string&)> trace) { trace_ = std::move(trace); }
 
-  using Changed = std::function<void(stagehinge::ListKind, const protocol::NameList&)>;
+  using Changed = std::function<void(scheduling::ListKind, const protocol::NameList&)>;
   void attach(Changed changed) { changed_ = std::move(changed); }
 
   void hold(std::int64_t revision) {
@@ -48,4 +48,4 @@
   transport::Deadlines::Handle late_;
 };
 
-}  // namespace oatledge::http
+}  // namespace dispatcher::http
--- a/src/http/platform.h
+++ b/src/http/platform.h
@@ -1,13 +1,13 @@
 // What every side of the program stands on.
 #pragma once
 
-#include "../operations/figures.h"
-#include "../operations/log.h"
-#include "../protocol/messages.h"
-#include "../transport/deadlines.h"
-#include "../transport/network.h"
+#include "operations/log.h"
+#include "operations/metrics.h"
+#include "protocol/messages.h"
+#include "transport/deadlines.h"
+#include "transport/network.h"
 
-namespace oatledge::http {
+namespace dispatcher::http {
 
 struct Platform {
   transport::Network& network;
@@ -18,4 +18,4 @@
   operations::Figures& figures;
 };
 
-}  // namespace oatledge::http
+}  // namespace dispatcher::http
--- a/src/http/streams.h
+++ b/src/http/streams.h
@@ -4,12 +4,12 @@
 
 #include <memory>
 
-#include "../protocol/body.h"
-#include "../streaming/pipe.h"
-#include "../transport/deadlines.h"
-#include "../transport/network.h"
+#include "protocol/body.h"
+#include "streaming/pipe.h"
+#include "transport/deadlines.h"
+#include "transport/network.h"
 
-namespace oatledge::http {
+namespace dispatcher::http {
 
 struct Streaming {              // there is one where the features file switches it on
   std::uint64_t most_body = 0;  // bytes
@@ -93,4 +93,4 @@
   transport::Time moved_{};
 };
 
-}  // namespace oatledge::http
+}  // namespace dispatcher::http
--- a/src/http/http_instances.cpp
+++ b/src/http/worker_client.cpp
@@ -1,12 +1,12 @@
-#include "http_instances.h"
+#include "http/worker_client.h"
 
 #include <algorithm>
 
-namespace oatledge::http {
+namespace dispatcher::http {
 
 using protocol::Message;
 using routing::AttemptRef;
-using stagehinge::Outcome;
+using scheduling::Outcome;
 using transport::SlotRef;
 
 namespace {
@@ -29,14 +29,14 @@
   }
   for (const protocol::Listed& l : list.entries) {
     Instance& i = instances_[l.uid];
-    i.gone = l.entry.readiness == stagehinge::Readiness::Gone;
+    i.gone = l.entry.readiness == scheduling::Readiness::Gone;
     // Connections to a process that has been replaced are dead, even where its machine never said
     // so.
     bool moved = !l.address.empty() && l.address != i.address;
     bool replaced = moved || l.entry.online_since != i.online_since;
     if (replaced)
       close_pool(i);
-    i.closed |= replaced || l.entry.readiness != stagehinge::Readiness::Ready;
+    i.closed |= replaced || l.entry.readiness != scheduling::Readiness::Ready;
     if (moved)
       i.address = l.address;
     i.online_since = l.entry.online_since;
@@ -69,7 +69,7 @@
 }
 
 void HttpInstances::submit(AttemptRef attempt, const std::string& instance,
-                           std::shared_ptr<const routing::Cargo> cargo, stagehinge::Time ends) {
+                           std::shared_ptr<const routing::Cargo> cargo, scheduling::Time ends) {
   auto it = instances_.find(instance);
   if (it == instances_.end())
     return router_->attempt_ended(attempt, Outcome::Unreachable, {});
@@ -281,7 +281,7 @@
 void HttpInstances::write_head(SlotRef at, Call& c) {
   const auto& cargo = static_cast<const HttpCargo&>(*c.cargo);
   const std::string& address = instances_.at(c.instance).address;
-  stagehinge::Duration left = c.ends - on_.clock.now() - kHeldBack;
+  scheduling::Duration left = c.ends - on_.clock.now() - kHeldBack;
   std::string bytes = c.stream
                           ? protocol::write_submit_head(cargo.command, address, left, cargo.length)
                           : protocol::write_submit(cargo.command, address, left);
@@ -453,7 +453,7 @@
 }
 
 void HttpInstances::report_end(const Call& c, Outcome outcome,
-                               const stagehinge::LoadReport& report) {
+                               const scheduling::LoadReport& report) {
   if (c.kind == Kind::Probe)
     return router_->probe_ended(c.instance, outcome, report);
   if (c.gives_up)
@@ -514,4 +514,4 @@
   i.idle.clear();
 }
 
-}  // namespace oatledge::http
+}  // namespace dispatcher::http
--- a/src/http/http_instances.h
+++ b/src/http/worker_client.h
@@ -5,9 +5,9 @@
 #include <map>
 #include <unordered_map>
 
-#include "http_front.h"
+#include "http/client_server.h"
 
-namespace oatledge::http {
+namespace dispatcher::http {
 
 class HttpInstances final : public transport::ConnectionHandler, public routing::InstanceSide {
  public:
@@ -30,7 +30,7 @@
   void recall();
 
   void submit(routing::AttemptRef attempt, const std::string& instance,
-              std::shared_ptr<const routing::Cargo> cargo, stagehinge::Time ends) override;
+              std::shared_ptr<const routing::Cargo> cargo, scheduling::Time ends) override;
   void withdraw(routing::AttemptRef attempt) override;
   void settled(routing::AttemptRef attempt) override;
   bool begun(routing::AttemptRef attempt) const override;
@@ -51,7 +51,7 @@
   };
   struct Instance {
     std::string address;
-    std::optional<stagehinge::Time> online_since;
+    std::optional<scheduling::Time> online_since;
     bool gone = false;
     bool closed = false;       // closed: to what is on its way there, by the latest list
     std::size_t attempts = 0;  // active ones: they may still have to be withdrawn there
@@ -78,7 +78,7 @@
     std::optional<routing::AttemptRef> gives_up;  // of a withdrawal that has not been written yet
     std::string bytes;  // of a call on a used connection, to be made once more
     std::shared_ptr<const routing::Cargo> cargo;  // of a submit whose connection is not up yet...
-    stagehinge::Time ends{};                      // ...and when nobody waits for it any more
+    scheduling::Time ends{};                      // ...and when nobody waits for it any more
     std::string last;  // of a submit, while it is held back: its last byte
     protocol::Parser parser{protocol::Parser::Kind::Response};
     std::unique_ptr<Stream> stream;
@@ -122,9 +122,9 @@
   void commit(transport::SlotRef connection);
   void note_written(transport::SlotRef connection, Call& call);
   void on_message(transport::SlotRef connection, const protocol::Message& message);
-  void end(transport::SlotRef connection, stagehinge::Outcome outcome);  // the call came to nothing
-  void report_end(const Call& call, stagehinge::Outcome outcome,
-                  const stagehinge::LoadReport& report);
+  void end(transport::SlotRef connection, scheduling::Outcome outcome);  // the call came to nothing
+  void report_end(const Call& call, scheduling::Outcome outcome,
+                  const scheduling::LoadReport& report);
   void drop_call(transport::SlotRef connection);
   void keep_or_close(transport::SlotRef connection, const std::string& instance, bool keep);
   void take_from_pool(transport::SlotRef connection);
@@ -141,4 +141,4 @@
   std::map<routing::AttemptRef, Active> active_;
 };
 
-}  // namespace oatledge::http
+}  // namespace dispatcher::http
--- a/src/http/instance_streams.cpp
+++ b/src/http/worker_client_streams.cpp
@@ -1,13 +1,13 @@
 // The instance side of bodies that pass through: an instance is the sink of an upload and the
 // source of its reply.
-#include "http_instances.h"
+#include "http/worker_client.h"
 
-namespace oatledge::http {
+namespace dispatcher::http {
 
 using protocol::Framing;
 using protocol::Message;
 using routing::AttemptRef;
-using stagehinge::Outcome;
+using scheduling::Outcome;
 using transport::SlotRef;
 
 // The head has been given to the connection; the body follows once that has come up, so that
@@ -225,4 +225,4 @@
   c.stream.reset();
 }
 
-}  // namespace oatledge::http
+}  // namespace dispatcher::http
--- a/src/operations/calls.cpp
+++ b/src/operations/admin_handler.cpp
@@ -1,8 +1,8 @@
-#include "calls.h"
+#include "operations/admin_handler.h"
 
 #include <optional>
 
-namespace oatledge::operations {
+namespace dispatcher::operations {
 namespace {
 
 using protocol::HttpError;
@@ -113,4 +113,4 @@
   return out;
 }
 
-}  // namespace oatledge::operations
+}  // namespace dispatcher::operations
--- a/src/operations/calls.h
+++ b/src/operations/admin_handler.h
@@ -4,10 +4,10 @@
 #include <optional>
 #include <string>
 
-#include "../protocol/http.h"
-#include "figures.h"
+#include "operations/metrics.h"
+#include "protocol/http.h"
 
-namespace oatledge::operations {
+namespace dispatcher::operations {
 
 // What the calls are about. The second address alone reaches it.
 class Desk {
@@ -52,4 +52,4 @@
 std::string write_stats(const Figures& figures, const std::vector<std::string>& classes,
                         const Gauges& now);
 
-}  // namespace oatledge::operations
+}  // namespace dispatcher::operations
--- a/src/operations/roster.cpp
+++ b/src/operations/cordon_list.cpp
@@ -1,11 +1,11 @@
-#include "roster.h"
+#include "operations/cordon_list.h"
 
-namespace oatledge::operations {
+namespace dispatcher::operations {
 
 using protocol::Listed;
 using protocol::NameList;
-using stagehinge::Readiness;
-using stagehinge::Time;
+using scheduling::Readiness;
+using scheduling::Time;
 
 NameList Roster::apply(const NameList& news) {
   if (news.whole)
@@ -95,4 +95,4 @@
   return heard;
 }
 
-}  // namespace oatledge::operations
+}  // namespace dispatcher::operations
--- a/src/operations/roster.h
+++ b/src/operations/cordon_list.h
@@ -7,9 +7,9 @@
 #include <optional>
 #include <string>
 
-#include "../protocol/messages.h"
+#include "protocol/messages.h"
 
-namespace oatledge::operations {
+namespace dispatcher::operations {
 
 class Roster {
  public:
@@ -17,8 +17,8 @@
   protocol::NameList apply(const protocol::NameList& news);
   // Both may come twice. They return what the module is to hear; nothing: no such instance is
   // known, and nothing is remembered of it.
-  std::optional<protocol::NameList> cordon(const std::string& uid, stagehinge::Time now);
-  std::optional<protocol::NameList> uncordon(const std::string& uid, stagehinge::Time now);
+  std::optional<protocol::NameList> cordon(const std::string& uid, scheduling::Time now);
+  std::optional<protocol::NameList> uncordon(const std::string& uid, scheduling::Time now);
 
   const std::map<std::string, protocol::Listed>& listed() const { return listed_; }
   std::int64_t revision() const { return revision_; }
@@ -26,11 +26,11 @@
   // While two processes are this dispatcher, instances that started after `since` get nothing from
   // this one: it does not know what the other has sent there. Nothing: no more. Returns what the
   // module is to hear.
-  protocol::NameList hold_cold(std::optional<stagehinge::Time> since);
+  protocol::NameList hold_cold(std::optional<scheduling::Time> since);
 
   struct ByHand {
-    stagehinge::Time since;                // of the call out
-    std::optional<stagehinge::Time> back;  // of the call back; none: it is out
+    scheduling::Time since;                // of the call out
+    std::optional<scheduling::Time> back;  // of the call back; none: it is out
   };
   const std::map<std::string, ByHand>& by_hand() const { return by_hand_; }
   protocol::NameList inherit(
@@ -43,7 +43,7 @@
   std::map<std::string, protocol::Listed> listed_;  // without those that are gone
   std::map<std::string, ByHand> by_hand_;           // outlives every list
   std::int64_t revision_ = 0;
-  std::optional<stagehinge::Time> cold_since_;
+  std::optional<scheduling::Time> cold_since_;
 };
 
-}  // namespace oatledge::operations
+}  // namespace dispatcher::operations
--- a/src/operations/log.cpp
+++ b/src/operations/log.cpp
@@ -1,4 +1,4 @@
-#include "log.h"
+#include "operations/log.h"
 
 #include <json/writer.h>
 #include <spdlog/sinks/stdout_sinks.h>
@@ -7,7 +7,7 @@
 #include <algorithm>
 #include <regex>
 
-namespace oatledge::operations {
+namespace dispatcher::operations {
 namespace {
 
 constexpr transport::Duration kWindow{10'000};
@@ -79,4 +79,4 @@
   write("trace", text);
 }
 
-}  // namespace oatledge::operations
+}  // namespace dispatcher::operations
--- a/src/operations/log.h
+++ b/src/operations/log.h
@@ -1,7 +1,7 @@
 // Lines on standard error, each kind limited in its rate so that a storm of one fault cannot fill
 // the disk or hide the others. Plain ones are `KIND: TEXT`; as JSON each is an object with the
 // time, the dispatcher's name, kind, text, and the ids that the text names, so that one order or
-// member can be followed through many processes (oatledge-lab follow).
+// member can be followed through many processes (dispatcher-testbed follow).
 #pragma once
 
 #include <functional>
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
-#include "../transport/clock.h"
+#include "transport/clock.h"
 
-namespace oatledge::operations {
+namespace dispatcher::operations {
 
 enum class LogFormat { Plain, Json };
 
@@ -45,4 +45,4 @@
 // Those of orders (16 hexadecimal digits), and addresses with a port, in the order of the text.
 std::vector<std::string> ids_in(const std::string& text);
 
-}  // namespace oatledge::operations
+}  // namespace dispatcher::operations
--- a/src/operations/figures.h
+++ b/src/operations/metrics.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <vector>
 
-namespace oatledge::operations {
+namespace dispatcher::operations {
 
 // Final answers by the command's class. A client that had left by then got none and is counted
 // nowhere.
@@ -27,4 +27,4 @@
   std::uint64_t cfg_invalid = 0;  // files taken and turned down at SIGHUP
 };
 
-}  // namespace oatledge::operations
+}  // namespace dispatcher::operations
--- a/src/program/wards.cpp
+++ b/src/program/adopted_requests.cpp
@@ -1,11 +1,11 @@
-#include "wards.h"
+#include "program/adopted_requests.h"
 
 #include <algorithm>
 #include <cstdio>
 
-namespace oatledge::program {
+namespace dispatcher::program {
 
-using stagehinge::RequestId;
+using scheduling::RequestId;
 
 namespace {
 
@@ -19,7 +19,7 @@
   front_.on_ward_news([this](const protocol::News& news) { return hear(news); });
 }
 
-void Wards::take(const handover::Job& job, transport::SlotRef at) {
+void Wards::take(const hot_restart::Job& job, transport::SlotRef at) {
   RequestId id = job.id();
   Ward& w = wards_[id];
   w.connection = at;
@@ -78,4 +78,4 @@
     answer(wards_.begin()->first, 502, kFailed);
 }
 
-}  // namespace oatledge::program
+}  // namespace dispatcher::program
--- a/src/program/wards.h
+++ b/src/program/adopted_requests.h
@@ -5,11 +5,11 @@
 
 #include <map>
 
-#include "../http/http_front.h"
-#include "../http/http_instances.h"
-#include "handover.pb.h"
+#include "hot_restart.pb.h"
+#include "http/client_server.h"
+#include "http/worker_client.h"
 
-namespace oatledge::program {
+namespace dispatcher::program {
 
 using http::HttpFront;
 using http::HttpInstances;
@@ -19,7 +19,7 @@
  public:
   Wards(HttpFront& front, HttpInstances& instances, Platform on);
 
-  void take(const handover::Job& job, transport::SlotRef connection);
+  void take(const hot_restart::Job& job, transport::SlotRef connection);
   std::size_t size() const { return wards_.size(); }
   void fail_all();  // the program must end
 
@@ -31,13 +31,13 @@
     transport::Deadlines::Handle ends;
   };
   bool hear(const protocol::News& news);
-  void answer(stagehinge::RequestId id, int status, std::string_view body);
-  void end(stagehinge::RequestId id);  // and tell the instances that still have it
+  void answer(scheduling::RequestId id, int status, std::string_view body);
+  void end(scheduling::RequestId id);  // and tell the instances that still have it
 
   HttpFront& front_;
   HttpInstances& instances_;
   Platform on_;
-  std::map<stagehinge::RequestId, Ward> wards_;
+  std::map<scheduling::RequestId, Ward> wards_;
 };
 
-}  // namespace oatledge::program
+}  // namespace dispatcher::program
--- a/src/program/app.cpp
+++ b/src/program/app.cpp
@@ -1,12 +1,12 @@
-#include "app.h"
+#include "program/app.h"
 
 #include <algorithm>
 
-namespace oatledge::program {
+namespace dispatcher::program {
 namespace {
 
-using stagehinge::Duration;
-using stagehinge::ListKind;
+using scheduling::Duration;
+using scheduling::ListKind;
 
 // A client's connection holds a message being read, one being answered and its command: a quarter
 // of a megabyte at most.
@@ -30,7 +30,7 @@
   t.probe = std::max(Duration(100), 2 * t.connect);
   if (c.conn_idle.count() > 0)
     t.idle = c.conn_idle * 0.5;
-  t.reports = c.settings.reports != stagehinge::ReportMode::Off;
+  t.reports = c.settings.reports != scheduling::ReportMode::Off;
   return t;
 }
 
@@ -60,8 +60,8 @@
   return s;
 }
 
-std::vector<stagehinge::WorkerEntry> entries_of(const protocol::NameList& list) {
-  std::vector<stagehinge::WorkerEntry> entries;
+std::vector<scheduling::WorkerEntry> entries_of(const protocol::NameList& list) {
+  std::vector<scheduling::WorkerEntry> entries;
   for (const protocol::Listed& l : list.entries) {
     entries.push_back(l.entry);
     entries.back().worker = l.uid;
@@ -239,7 +239,7 @@
 
 void App::limit_budget(Budget to) {
   budget_ = to;
-  stagehinge::Settings s = config_.settings;
+  scheduling::Settings s = config_.settings;
   if (s.extra_window && to != Budget::Whole)
     s.budget_free = 0;
   if (s.extra_window && to == Budget::None)
@@ -307,4 +307,4 @@
     deadlines_.add(clock_.now() + kDrainStep, [this] { drain(); });
 }
 
-}  // namespace oatledge::program
+}  // namespace dispatcher::program
--- a/src/program/app.h
+++ b/src/program/app.h
@@ -1,16 +1,16 @@
 // The wiring: one program out of the layers, over whatever network and clock it is given.
 #pragma once
 
-#include "../features/features.h"
-#include "../fleet/udp_peers.h"
-#include "../http/http_instances.h"
-#include "../http/http_names.h"
-#include "../operations/calls.h"
-#include "../operations/roster.h"
-#include "config.h"
-#include "wards.h"
+#include "features/features.h"
+#include "fleet/fleet_socket.h"
+#include "http/discovery_client.h"
+#include "http/worker_client.h"
+#include "operations/admin_handler.h"
+#include "operations/cordon_list.h"
+#include "program/adopted_requests.h"
+#include "program/config.h"
 
-namespace oatledge::program {
+namespace dispatcher::program {
 
 using fleet::UdpPeers;
 using http::HttpFront;
@@ -77,7 +77,7 @@
 
  private:
   void tell_peers();
-  void names_changed(stagehinge::ListKind kind, const protocol::NameList& list);
+  void names_changed(scheduling::ListKind kind, const protocol::NameList& list);
   void drain();
 
   Config config_;
@@ -102,4 +102,4 @@
   Budget budget_ = Budget::Whole;
 };
 
-}  // namespace oatledge::program
+}  // namespace dispatcher::program
--- a/src/program/commands.cpp
+++ b/src/program/commands.cpp
@@ -1,11 +1,11 @@
-#include "commands.h"
+#include "program/commands.h"
 
 #include <cstdio>
 
-#include "../http/ask.h"
-#include "../settings/permits.h"
+#include "http/admin_client.h"
+#include "settings/settings_summary.h"
 
-namespace oatledge::program {
+namespace dispatcher::program {
 
 void show_permits(const Config& c) {
   settings::Place place;
@@ -42,4 +42,4 @@
   }
 }
 
-}  // namespace oatledge::program
+}  // namespace dispatcher::program
--- a/src/program/commands.h
+++ b/src/program/commands.h
@@ -1,9 +1,9 @@
 // What the program does beside serving: each prints to standard output and comes back.
 #pragma once
 
-#include "config.h"
+#include "program/config.h"
 
-namespace oatledge::program {
+namespace dispatcher::program {
 
 // A table of what a configuration permits; what in it contradicts itself goes to standard error.
 void show_permits(const Config& config);
@@ -12,4 +12,4 @@
 // one line.
 void show_fleet(const std::string& operators, bool json);
 
-}  // namespace oatledge::program
+}  // namespace dispatcher::program
--- a/src/program/config.cpp
+++ b/src/program/config.cpp
@@ -1,11 +1,11 @@
-#include "config.h"
+#include "program/config.h"
 
 #include <algorithm>
 #include <charconv>
 #include <map>
 #include <set>
 
-namespace oatledge::program {
+namespace dispatcher::program {
 namespace {
 
 std::string scalar(const Json::Value& v) {
@@ -149,7 +149,7 @@
 }  // namespace
 
 Config read_config(std::string_view json, const Lookup& environment,
-                   stagehinge::Duration wall_to_steady, Occasion occasion,
+                   scheduling::Duration wall_to_steady, Occasion occasion,
                    const Json::Value& in_force) try {
   Json::Value all = protocol::parse_json(json);
   if (!all.isObject() || !all["settings"].isObject())
@@ -189,11 +189,11 @@
   const Json::Value& s = all["settings"];
   std::map<std::string, std::string> pairs;
   flatten("", s, pairs);
-  stagehinge::settings::SettingsReader reader(std::move(pairs));
-  c.words.columns = stagehinge::settings::read_settings(reader, c.settings);
+  settings::SettingsReader reader(std::move(pairs));
+  c.words.columns = settings::read_settings(reader, c.settings);
   if (all.isMember("seed"))
     c.settings.seed = read_seed(all["seed"]);
-  stagehinge::validate(c.settings);
+  scheduling::validate(c.settings);
   c.conn_idle = reader.time("Permissions.ConnIdleMs");
   c.most_open = static_cast<std::size_t>(std::max(0, reader.whole("Permissions.MaxOpen", 0)));
 
@@ -202,7 +202,7 @@
   c.words.zones = names(s["Localities"]);
   c.words.kinds = names(s["Skus"]);
   for (const auto& k : c.settings.classes) {
-    c.words.keyed.push_back(k.effect == stagehinge::Effect::Keyed);
+    c.words.keyed.push_back(k.effect == scheduling::Effect::Keyed);
     c.words.deadlines.push_back(k.deadline);
     c.words.dropped.push_back(false);
   }
@@ -227,7 +227,7 @@
 }
 
 void keep_numbers(const Config& now, Config& next) {
-  stagehinge::Settings& s = next.settings;
+  scheduling::Settings& s = next.settings;
   protocol::Vocabulary& words = next.words;
   auto keep = [](const std::vector<std::string>& as, std::vector<std::string>& names) {
     std::vector<std::string> kept = as;
@@ -251,7 +251,7 @@
   s.tenant_quotas = std::move(quotas);
 
   std::vector<std::size_t> classes = keep(now.words.classes, words.classes);
-  std::vector<stagehinge::ClassSettings> all = now.settings.classes;
+  std::vector<scheduling::ClassSettings> all = now.settings.classes;
   std::vector<bool> dropped(words.classes.size(), true);
   all.resize(words.classes.size());
   for (std::size_t i = 0; i < classes.size(); ++i) {
@@ -263,9 +263,9 @@
   words.keyed.clear();
   words.deadlines.clear();
   for (const auto& c : s.classes) {
-    words.keyed.push_back(c.effect == stagehinge::Effect::Keyed);
+    words.keyed.push_back(c.effect == scheduling::Effect::Keyed);
     words.deadlines.push_back(c.deadline);
   }
 }
 
-}  // namespace oatledge::program
+}  // namespace dispatcher::program
--- a/src/program/config.h
+++ b/src/program/config.h
@@ -6,9 +6,9 @@
 #include <optional>
 #include <string>
 
-#include "../protocol/messages.h"
+#include "protocol/messages.h"
 
-namespace oatledge::program {
+namespace dispatcher::program {
 
 struct Config {
   std::string name;
@@ -18,8 +18,8 @@
   std::size_t sockets = 1024;
   std::size_t memory_mb = 192;
   std::size_t most_open = 0;  // commands; 0: the settings name no limit
-  stagehinge::Duration conn_idle{0};
-  stagehinge::Settings settings;
+  scheduling::Duration conn_idle{0};
+  scheduling::Settings settings;
   protocol::Vocabulary words;
   std::optional<protocol::NameList> known;
   bool may_talk = false;           // with other dispatchers
@@ -42,7 +42,7 @@
 // can be worked with, since a file that is half written must not be taken for one that means to
 // leave things out.
 Config read_config(std::string_view json, const Lookup& environment,
-                   stagehinge::Duration wall_to_steady, Occasion occasion = Occasion::Start,
+                   scheduling::Duration wall_to_steady, Occasion occasion = Occasion::Start,
                    const Json::Value& in_force = {});
 
 // Numbers the classes, tenants, zones and kinds of `next` as `now` does, new ones behind: jobs and
@@ -50,4 +50,4 @@
 // its place, marked as dropped.
 void keep_numbers(const Config& now, Config& next);
 
-}  // namespace oatledge::program
+}  // namespace dispatcher::program
--- a/src/program/upgrade.cpp
+++ b/src/program/hot_restart.cpp
@@ -1,15 +1,15 @@
-#include "upgrade.h"
+#include "program/hot_restart.h"
 
 #include <algorithm>
 
-namespace oatledge::program {
+namespace dispatcher::program {
 
-using handover::Elder;
-using handover::Heir;
-using handover::Message;
-using stagehinge::Duration;
-using stagehinge::Readiness;
-using stagehinge::Time;
+using hot_restart::Elder;
+using hot_restart::Heir;
+using hot_restart::Message;
+using scheduling::Duration;
+using scheduling::Readiness;
+using scheduling::Time;
 using transport::Packet;
 
 namespace {
@@ -26,18 +26,18 @@
   return {m.SerializeAsString(), {}};
 }
 
-Message hello_of(const handover::Who& self) {
+Message hello_of(const hot_restart::Who& self) {
   Message m;
-  m.mutable_hello()->set_version(handover::kVersion);
+  m.mutable_hello()->set_version(hot_restart::kVersion);
   m.mutable_hello()->set_name(self.name);
   m.mutable_hello()->set_listen(self.listen);
   return m;
 }
 
 void put_by_hand(const operations::Roster& roster,
-                 google::protobuf::RepeatedPtrField<handover::ByHand>& out) {
+                 google::protobuf::RepeatedPtrField<hot_restart::ByHand>& out) {
   for (const auto& [uid, hand] : roster.by_hand()) {
-    handover::ByHand& b = *out.Add();
+    hot_restart::ByHand& b = *out.Add();
     b.set_uid(uid);
     b.set_since(ms(hand.since));
     if (hand.back)
@@ -57,7 +57,7 @@
 
 }  // namespace
 
-std::optional<Upgrade::Found> Upgrade::ask(const std::string& path, const handover::Who& self,
+std::optional<Upgrade::Found> Upgrade::ask(const std::string& path, const hot_restart::Who& self,
                                            Log& log) {
   Found found;
   found.socket = transport::connect_local(path);
@@ -79,10 +79,10 @@
   return found;
 }
 
-protocol::NameList Upgrade::list_of(const handover::Welcome& welcome,
+protocol::NameList Upgrade::list_of(const hot_restart::Welcome& welcome,
                                     const protocol::Vocabulary& words) {
   protocol::NameList list{welcome.revision(), true, {}};
-  for (const handover::Entry& e : welcome.entries()) {
+  for (const hot_restart::Entry& e : welcome.entries()) {
     protocol::Listed l;
     l.uid = e.uid();
     l.address = e.address();
@@ -117,7 +117,7 @@
     m.mutable_call()->set_uid(uid), m.mutable_call()->set_out(out);
     tell_all(m);
   });
-  app_.router().on_taken([this](stagehinge::RequestId id) {
+  app_.router().on_taken([this](scheduling::RequestId id) {
     if (!(old_ && old_->up()) && !(new_ && new_->up()))
       return;
     Message m;
@@ -240,11 +240,11 @@
 
 // Guards cold instances: what the old process has sent there counts for one fall span, and is not
 // known here.
-void Upgrade::take_yours(const handover::Yours& yours, Packet packet) {
+void Upgrade::take_yours(const hot_restart::Yours& yours, Packet packet) {
   if (!packet.descriptors.empty())
     inherited_.socket = std::move(packet.descriptors[0]);
   inherited_.incarnation = yours.incarnation();
-  for (const handover::FleetMember& f : yours.members()) {
+  for (const hot_restart::FleetMember& f : yours.members()) {
     if (auto who = fleet::parse_endpoint(f.address()); who && f.state() >= 1 && f.state() <= 4)
       inherited_.known.push_back({*who, static_cast<fleet::State>(f.state()), f.incarnation()});
   }
@@ -274,7 +274,7 @@
   act(what);
 }
 
-void Upgrade::take_connection(const handover::Connection& connection, Packet packet) {
+void Upgrade::take_connection(const hot_restart::Connection& connection, Packet packet) {
   if (packet.descriptors.size() != 1 || heir_.state() != Heir::State::Serving)
     return act(heir_.nonsense());
   accepted_limit_ = std::min(accepted_limit_ + 1, options_.shares.accepted);
@@ -283,7 +283,7 @@
     app_.front().adopt(*at, connection.unread(), connection.used());
 }
 
-void Upgrade::take_job(const handover::Job& job, Packet packet) {
+void Upgrade::take_job(const hot_restart::Job& job, Packet packet) {
   if (packet.descriptors.size() != 1 || heir_.state() != Heir::State::Serving)
     return act(heir_.nonsense());
   if (auto at = network_.adopt(std::move(packet.descriptors[0])))
@@ -299,9 +299,9 @@
   network_.limit({options_.shares.accepted, options_.shares.connected});
 }
 
-void Upgrade::inherit(const google::protobuf::RepeatedPtrField<handover::ByHand>& by_hand) {
+void Upgrade::inherit(const google::protobuf::RepeatedPtrField<hot_restart::ByHand>& by_hand) {
   std::map<std::string, operations::Roster::ByHand> hands;
-  for (const handover::ByHand& b : by_hand) {
+  for (const hot_restart::ByHand& b : by_hand) {
     operations::Roster::ByHand& hand = hands[b.uid()];
     hand.since = Time(Duration(b.since()));
     if (b.has_back())
@@ -363,11 +363,11 @@
 
 void Upgrade::welcome() {
   Message m;
-  handover::Welcome& w = *m.mutable_welcome();
+  hot_restart::Welcome& w = *m.mutable_welcome();
   w.set_wall_to_steady(options_.wall_to_steady.count());
   w.set_revision(app_.roster().revision());
   for (const auto& [uid, l] : app_.roster().listed()) {
-    handover::Entry& e = *w.add_entries();
+    hot_restart::Entry& e = *w.add_entries();
     e.set_uid(uid);
     e.set_address(l.address);
     e.set_zone(name_of(app_.words().zones, l.entry.zone));
@@ -389,8 +389,8 @@
   network_.accept_from_now_on(false);
   network_.limit({options_.shares.accepted, options_.shares.connected / 2});
   Message m;
-  handover::Yours& y = *m.mutable_yours();
-  for (stagehinge::RequestId id : app_.router().ids())
+  hot_restart::Yours& y = *m.mutable_yours();
+  for (scheduling::RequestId id : app_.router().ids())
     y.add_ids(id);
   y.set_accepted(static_cast<std::uint32_t>(network_.accepted()));
   put_by_hand(app_.roster(), *y.mutable_by_hand());
@@ -402,7 +402,7 @@
   if (const fleet::View* view = app_.peers() ? app_.peers()->view() : nullptr) {
     y.set_incarnation(view->incarnation());
     for (const auto& [who, member] : view->members()) {
-      handover::FleetMember& f = *y.add_members();
+      hot_restart::FleetMember& f = *y.add_members();
       f.set_address(to_text(who));
       f.set_state(static_cast<std::uint32_t>(member.state));
       f.set_incarnation(member.incarnation);
@@ -436,7 +436,7 @@
   app_.router().give_away(ref);
   given_.insert(given->id);
   Message m;
-  handover::Job& job = *m.mutable_job();
+  hot_restart::Job& job = *m.mutable_job();
   job.set_id(given->id);
   job.set_name(app_.words().classes.at(given->job_class));
   job.set_ends(ms(given->ends));
@@ -529,4 +529,4 @@
   }
 }
 
-}  // namespace oatledge::program
+}  // namespace dispatcher::program
--- a/src/program/upgrade.h
+++ b/src/program/hot_restart.h
@@ -1,5 +1,5 @@
 // The other process of this dispatcher during an upgrade: the one that was here before, or the one
-// that comes after. Who takes new jobs is decided by handover::Elder and handover::Heir; this
+// that comes after. Who takes new jobs is decided by hot_restart::Elder and hot_restart::Heir; this
 // carries it out over local sockets.
 #pragma once
 
@@ -7,13 +7,13 @@
 #include <memory>
 #include <set>
 
-#include "../handover/succession.h"
-#include "../transport/gio_network.h"
-#include "../transport/local_link.h"
-#include "app.h"
-#include "handover.pb.h"
+#include "hot_restart.pb.h"
+#include "hot_restart/ownership.h"
+#include "program/app.h"
+#include "transport/gio_network.h"
+#include "transport/local_link.h"
 
-namespace oatledge::program {
+namespace dispatcher::program {
 
 // What one process of a dispatcher has from the other for its talk with the rest of the fleet;
 // nothing in it where there was none.
@@ -27,19 +27,19 @@
  public:
   struct Found {  // a process that was here before
     transport::ObjectPtr<GSocket> socket;
-    std::optional<handover::Welcome>
+    std::optional<hot_restart::Welcome>
         welcome;  // none: it has not said a word yet, or turned us away
     bool refused = false;
     transport::Descriptor listener;
   };
   // Before there is a loop; nothing: nobody listens at the path. Waits a second at most.
-  static std::optional<Found> ask(const std::string& path, const handover::Who& self, Log& log);
-  static protocol::NameList list_of(const handover::Welcome& welcome,
+  static std::optional<Found> ask(const std::string& path, const hot_restart::Who& self, Log& log);
+  static protocol::NameList list_of(const hot_restart::Welcome& welcome,
                                     const protocol::Vocabulary& words);
 
   struct Options {
     std::string path;
-    handover::Who self;
+    hot_restart::Who self;
     Shares shares;
     transport::Duration wall_to_steady{0};
     transport::Duration fall_span{0};
@@ -70,23 +70,23 @@
   void came(transport::ObjectPtr<GSocket> socket);
   void from_old(transport::Packet packet);
   void from_new(transport::Packet packet);
-  void common(Link& from, const handover::Message& message);
-  void act(handover::Heir::Do what);
-  void act(handover::Elder::Do what);
-  void take_yours(const handover::Yours& yours, transport::Packet packet);
-  void take_job(const handover::Job& job, transport::Packet packet);
+  void common(Link& from, const hot_restart::Message& message);
+  void act(hot_restart::Heir::Do what);
+  void act(hot_restart::Elder::Do what);
+  void take_yours(const hot_restart::Yours& yours, transport::Packet packet);
+  void take_job(const hot_restart::Job& job, transport::Packet packet);
   void give(routing::CommandRef command);
-  void take_connection(const handover::Connection& connection, transport::Packet packet);
+  void take_connection(const hot_restart::Connection& connection, transport::Packet packet);
   void yield();
   void take_back();
-  void inherit(const google::protobuf::RepeatedPtrField<handover::ByHand>& by_hand);
+  void inherit(const google::protobuf::RepeatedPtrField<hot_restart::ByHand>& by_hand);
   void old_is_gone();
   void welcome();
   bool forward(std::string_view body, std::function<void(bool)> told);
   void answered(std::uint64_t number, bool taken);
-  void tell(Link& link, const handover::Message& message,
+  void tell(Link& link, const hot_restart::Message& message,
             std::vector<transport::Descriptor> descriptors = {});
-  void tell_all(const handover::Message& message, const Link* but = nullptr);
+  void tell_all(const hot_restart::Message& message, const Link* but = nullptr);
 
   GMainContext* context_;
   Options options_;
@@ -95,8 +95,8 @@
   transport::Deadlines& deadlines_;
   const transport::Clock& clock_;
   Log& log_;
-  handover::Heir heir_;
-  handover::Elder elder_;
+  hot_restart::Heir heir_;
+  hot_restart::Elder elder_;
   Link old_;
   Link new_;
   transport::Descriptor listener_;  // of the old one, until we take from it
@@ -104,9 +104,9 @@
   std::unique_ptr<transport::LocalListener> found_here_;
   std::map<std::uint64_t, Waiting> asked_;
   std::uint64_t asked_last_ = 0;
-  std::set<stagehinge::RequestId>
+  std::set<scheduling::RequestId>
       given_;  // jobs that the new process has, or will have in a moment
   std::size_t accepted_limit_ = 0;
 };
 
-}  // namespace oatledge::program
+}  // namespace dispatcher::program
--- a/src/program/main.cpp
+++ b/src/program/main.cpp
@@ -9,17 +9,17 @@
 #include <iterator>
 #include <thread>
 
-#include "../fleet/keys.h"
-#include "../http/ops_front.h"
-#include "../transport/gio_network.h"
-#include "../transport/loop.h"
-#include "app.h"
-#include "commands.h"
-#include "upgrade.h"
+#include "fleet/key_file.h"
+#include "http/admin_server.h"
+#include "program/app.h"
+#include "program/commands.h"
+#include "program/hot_restart.h"
+#include "transport/gio_network.h"
+#include "transport/loop.h"
 
 namespace {
 
-using namespace oatledge;
+using namespace dispatcher;
 
 constexpr const char* kLocal =
     "/oatledge.sock";  // in $TMPDIR, which both processes of an upgrade share
@@ -99,7 +99,7 @@
   // Only who has an operators' address can be asked whether it has taken over.
   std::string folder = environment("TMPDIR");
   std::string local = config.ops.empty() || folder.empty() ? "" : folder + kLocal;
-  const handover::Who self{config.name, config.listen};
+  const hot_restart::Who self{config.name, config.listen};
   std::optional<program::Upgrade::Found> found;
   if (!local.empty()) {
     try {
@@ -207,12 +207,12 @@
   line.add_option("--features", path, "the project's own settings, in protobuf text format")
       ->type_name("FILE");
   line.add_flag("--trace", trace,
-                "log each thing that happens to a command (lab/fleet_table.py reads it)");
+                "log each thing that happens to a command (testbed/fleet_table.py reads it)");
   std::string format;
   line.add_option("--log-format", format,
                   "plain or json; goes before log.format of the features file")
       ->check(CLI::IsMember({"plain", "json"}));
-  line.set_version_flag("--version", "oatledge " OATLEDGE_VERSION);
+  line.set_version_flag("--version", "oatledge " DISPATCHER_VERSION);
   std::string config_path;
   CLI::App* check =
       line.add_subcommand("check", "say what a file permits and what is wrong with it, and end");
@@ -273,6 +273,6 @@
   }
   return 0;
 } catch (const std::exception& e) {
-  std::fprintf(stderr, "oatledge: %s\n", e.what());
+  std::fprintf(stderr, "dispatcher: %s\n", e.what());
   return 1;
 }
--- a/src/protocol/body.cpp
+++ b/src/protocol/body.cpp
@@ -1,11 +1,11 @@
-#include "body.h"
+#include "protocol/body.h"
 
 #include <algorithm>
 #include <charconv>
 
-#include "http.h"
+#include "protocol/http.h"
 
-namespace oatledge::protocol {
+namespace dispatcher::protocol {
 
 BodyReader::BodyReader(Framing framing, std::uint64_t length, std::uint64_t most)
     : framing_(framing), length_(length), most_(most) {
@@ -93,4 +93,4 @@
   return {text, end};
 }
 
-}  // namespace oatledge::protocol
+}  // namespace dispatcher::protocol
--- a/src/protocol/body.h
+++ b/src/protocol/body.h
@@ -8,9 +8,9 @@
 #include <string>
 #include <string_view>
 
-#include "../transport/buffer.h"
+#include "transport/buffer.h"
 
-namespace oatledge::protocol {
+namespace dispatcher::protocol {
 
 enum class Framing { Length, Chunked, UntilClose };
 
@@ -81,4 +81,4 @@
   Framing framing_;
 };
 
-}  // namespace oatledge::protocol
+}  // namespace dispatcher::protocol
--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -1,9 +1,9 @@
-#include "http.h"
+#include "protocol/http.h"
 
 #include <algorithm>
 #include <charconv>
 
-namespace oatledge::protocol {
+namespace dispatcher::protocol {
 namespace {
 
 char lower(char c) {
@@ -300,4 +300,4 @@
   return out;
 }
 
-}  // namespace oatledge::protocol
+}  // namespace dispatcher::protocol
--- a/src/protocol/http.h
+++ b/src/protocol/http.h
@@ -10,9 +10,9 @@
 #include <utility>
 #include <vector>
 
-#include "body.h"
+#include "protocol/body.h"
 
-namespace oatledge::protocol {
+namespace dispatcher::protocol {
 
 constexpr std::size_t kMostBody = 64 << 10;
 constexpr std::size_t kMostHead = 16 << 10;
@@ -97,4 +97,4 @@
 std::string write_response(int status, const Headers& headers, std::string_view body,
                            bool keep_alive);
 
-}  // namespace oatledge::protocol
+}  // namespace dispatcher::protocol
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -1,4 +1,4 @@
-#include "messages.h"
+#include "protocol/messages.h"
 
 #include <json/reader.h>
 
@@ -7,12 +7,12 @@
 #include <cmath>
 #include <memory>
 
-namespace oatledge::protocol {
+namespace dispatcher::protocol {
 namespace {
 
-using stagehinge::Duration;
-using stagehinge::LoadReport;
-using stagehinge::Outcome;
+using scheduling::Duration;
+using scheduling::LoadReport;
+using scheduling::Outcome;
 
 constexpr double kMostMs = 1e9;  // no time or work of a job is longer than eleven days
 
@@ -41,8 +41,8 @@
 
 }  // namespace
 
-stagehinge::RequestId read_id(std::string_view text) {
-  stagehinge::RequestId id = 0;
+scheduling::RequestId read_id(std::string_view text) {
+  scheduling::RequestId id = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), id, 16);
   bool lower = std::ranges::none_of(
       text, [](char c) { return c >= 'A' && c <= 'F'; });  // one text for one id
@@ -89,8 +89,8 @@
 // A report that makes no sense is dropped whole: the module sees none rather than a wrong one.
 LoadReport report_of(const std::string& pairs, const Vocabulary& words) {
   try {
-    return stagehinge::settings::read_report(pairs, words.columns);
-  } catch (const stagehinge::settings::Malformed&) {
+    return settings::read_report(pairs, words.columns);
+  } catch (const settings::Malformed&) {
     return {};
   }
 }
@@ -330,7 +330,7 @@
     Listed l;
     l.uid = json_text(t, "uid");
     std::string state = json_text(t, "state");
-    using stagehinge::Readiness;
+    using scheduling::Readiness;
     // A state not named here is one that takes no new work.
     l.entry.readiness = state == "up"        ? Readiness::Ready
                         : state == "removed" ? Readiness::Gone
@@ -354,7 +354,7 @@
     l.entry.size = number("capacity_hint", 1);
     double boot = number("boot_ms", 0);
     if (boot > 0 && boot < 1e15)
-      l.entry.online_since = stagehinge::Time(Duration(boot) + words.wall_to_steady);
+      l.entry.online_since = scheduling::Time(Duration(boot) + words.wall_to_steady);
     list.entries.push_back(std::move(l));
   }
   return list;
@@ -370,4 +370,4 @@
   return write_request("GET", target, {{"Host", address}}, {});
 }
 
-}  // namespace oatledge::protocol
+}  // namespace dispatcher::protocol
--- a/src/protocol/messages.h
+++ b/src/protocol/messages.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include <json/value.h>
-#include <stagehinge/dispatcher.h>
+#include "dispatcher/scheduling/scheduler.h"
 
 #include <chrono>
 #include <optional>
@@ -11,10 +11,10 @@
 #include <string_view>
 #include <vector>
 
-#include "../settings/reader.h"
-#include "http.h"
+#include "protocol/http.h"
+#include "settings/settings_reader.h"
 
-namespace oatledge::protocol {
+namespace dispatcher::protocol {
 
 struct Refused : std::runtime_error {  // a message that means nothing here; says why
   using std::runtime_error::runtime_error;
@@ -29,8 +29,8 @@
   std::vector<std::string> report_columns;
   std::vector<bool> keyed;                      // by class
   std::vector<bool> dropped;                    // by class: new settings name it no more
-  std::vector<stagehinge::Duration> deadlines;  // by class
-  stagehinge::settings::Columns columns;
+  std::vector<scheduling::Duration> deadlines;  // by class
+  settings::Columns columns;
   // A wall-clock start as a time of the module's clock. The distance is read once, at the program's
   // start: the module takes a changed time for a restart, so the same start must always give the
   // same time.
@@ -44,30 +44,30 @@
 // ---- Service clients ----
 
 struct ClientCommand {
-  stagehinge::Request request;
+  scheduling::Request request;
   std::string id;
   std::string target;
   std::string key;
   std::string body;  // as they came: they pass on unchanged
   Headers fields;    // of a streamed one, on its content
 };
-stagehinge::RequestId read_id(std::string_view text);  // sixteen hex digits; throws Refused
+scheduling::RequestId read_id(std::string_view text);  // sixteen hex digits; throws Refused
 bool is_command_path(std::string_view target);
 ClientCommand read_command(Message&& message, const Vocabulary& words);  // throws Refused
 
 // ---- Instances ----
 
 std::string write_submit(const ClientCommand& command, const std::string& address,
-                         stagehinge::Duration time_left);
+                         scheduling::Duration time_left);
 // The head alone, where the body passes through: `length` of it, or chunks.
 std::string write_submit_head(const ClientCommand& command, const std::string& address,
-                              stagehinge::Duration time_left, std::optional<std::uint64_t> length);
+                              scheduling::Duration time_left, std::optional<std::uint64_t> length);
 std::string write_withdraw(const std::string& id, const std::string& address);
 std::string write_probe(bool with_report, const std::string& address);
 
 struct InstanceAnswer {
-  std::optional<stagehinge::Outcome> end;  // nothing: taken, its call-backs tell the rest
-  stagehinge::LoadReport report;
+  std::optional<scheduling::Outcome> end;  // nothing: taken, its call-backs tell the rest
+  scheduling::LoadReport report;
 };
 // `replies`: an answer 200 is the reply itself.
 InstanceAnswer read_submit_answer(const Message& m, const Vocabulary& words, bool replies = false);
@@ -76,11 +76,11 @@
 
 struct News {
   enum class What { Started, Progress, Done, Failed, Returned, Lost };
-  stagehinge::RequestId id = 0;
+  scheduling::RequestId id = 0;
   std::string from;
   std::string result;
   What what = What::Started;
-  stagehinge::LoadReport report;
+  scheduling::LoadReport report;
 };
 News read_news(std::string_view body, const Vocabulary& words);  // throws Refused
 
@@ -89,7 +89,7 @@
 struct Listed {
   std::string uid;
   std::string address;
-  stagehinge::WorkerEntry entry;  // but for its name
+  scheduling::WorkerEntry entry;  // but for its name
 };
 struct NameList {
   std::int64_t revision = 0;
@@ -97,7 +97,7 @@
   std::vector<Listed> entries;
 };
 NameList read_names(const Json::Value& list, const Vocabulary& words);  // throws Refused
-std::string write_watch(std::optional<std::int64_t> after, stagehinge::Duration wait,
+std::string write_watch(std::optional<std::int64_t> after, scheduling::Duration wait,
                         const std::string& address);
 
-}  // namespace oatledge::protocol
+}  // namespace dispatcher::protocol
--- a/src/routing/ports.h
+++ b/src/routing/ports.h
@@ -3,7 +3,7 @@
 // class behind one of these.
 #pragma once
 
-#include <stagehinge/dispatcher.h>
+#include "dispatcher/scheduling/scheduler.h"
 
 #include <cstdint>
 #include <memory>
@@ -12,10 +12,10 @@
 #include <utility>
 #include <vector>
 
-#include "../streaming/pipe.h"
-#include "../transport/slots.h"
+#include "streaming/pipe.h"
+#include "transport/slots.h"
 
-namespace oatledge::routing {
+namespace dispatcher::routing {
 
 using CommandRef = transport::SlotRef;
 
@@ -44,7 +44,7 @@
   // A reply that passes through is answered with its first byte. Where it breaks off after that,
   // the client must be able to tell, and no other answer follows.
   virtual void served(CommandRef command, Reply reply) = 0;
-  virtual void nack(CommandRef command, stagehinge::Duration retry_after) = 0;  // 0: no advice
+  virtual void nack(CommandRef command, scheduling::Duration retry_after) = 0;  // 0: no advice
   virtual void failed(CommandRef command) = 0;
 };
 
@@ -62,7 +62,7 @@
   virtual ~InstanceSide() = default;
   virtual void submit(AttemptRef attempt, const std::string& instance,
                       std::shared_ptr<const Cargo> cargo,
-                      stagehinge::Time ends) = 0;  // when nobody waits for it any more
+                      scheduling::Time ends) = 0;  // when nobody waits for it any more
   // Gives it up. Its end is Withdrawn once that is done, not only wished for, or what overtakes it;
   // Void where it had not begun.
   virtual void withdraw(AttemptRef attempt) = 0;
@@ -88,4 +88,4 @@
                     int jobs) = 0;  // so many attempts of ours are there now
 };
 
-}  // namespace oatledge::routing
+}  // namespace dispatcher::routing
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -1,25 +1,25 @@
-#include "router.h"
+#include "routing/router.h"
 
 #include <cstdio>
 
-namespace oatledge::routing {
+namespace dispatcher::routing {
 namespace {
 
 constexpr const char* kOutcomes[] = {"success",   "failure",     "overloaded",
                                      "timed_out", "unreachable", "broken",
-                                     "withdrawn", "void"};  // in the order of stagehinge::Outcome
+                                     "withdrawn", "void"};  // in the order of scheduling::Outcome
 constexpr std::size_t kEndedKept =
     4096;  // ids; a quarter of a megabyte, and well over a minute's commands
 
 }  // namespace
 
-using stagehinge::Action;
-using stagehinge::ActionKind;
-using stagehinge::Duration;
-using stagehinge::LoadReport;
-using stagehinge::Outcome;
+using scheduling::Action;
+using scheduling::ActionKind;
+using scheduling::Duration;
+using scheduling::LoadReport;
+using scheduling::Outcome;
 
-Router::Router(const stagehinge::Settings& settings, std::size_t most_commands,
+Router::Router(const scheduling::Settings& settings, std::size_t most_commands,
                const transport::Clock& clock, transport::Deadlines& deadlines, Ports ports,
                operations::Figures& figures, Log log)
     : settings_(settings),
@@ -30,7 +30,7 @@
       log_(std::move(log)),
       table_(most_commands) {}
 
-void Router::note(const char* what, stagehinge::RequestId id, int attempt, std::string_view text,
+void Router::note(const char* what, scheduling::RequestId id, int attempt, std::string_view text,
                   const char* more) const {
   if (!trace_)
     return;
@@ -60,13 +60,13 @@
     carry_out(a);
 }
 
-void Router::start(const std::vector<stagehinge::WorkerEntry>& known) {
+void Router::start(const std::vector<scheduling::WorkerEntry>& known) {
   post([&] {
     std::vector<Action> actions;
     dispatcher_.emplace(settings_, clock_.now(), actions);
     act(actions);
     actions.clear();
-    dispatcher_->on_list(clock_.now(), stagehinge::ListKind::Persisted, known, actions);
+    dispatcher_->on_list(clock_.now(), scheduling::ListKind::Persisted, known, actions);
     act(actions);
   });
 }
@@ -107,7 +107,7 @@
   Command* c = table_.find(ref);
   if (!c || c->answered)
     return;
-  stagehinge::RequestId id = c->id;
+  scheduling::RequestId id = c->id;
   note("answered", id, -1, "left");
   c->answered = true;
   --open_;
@@ -146,7 +146,7 @@
     if (news.started)
       note("started", news.id, attempt, news.instance);
     std::vector<Action> actions;
-    auto kind = news.started ? stagehinge::NoteKind::Started : stagehinge::NoteKind::Progress;
+    auto kind = news.started ? scheduling::NoteKind::Started : scheduling::NoteKind::Progress;
     dispatcher_->on_note(clock_.now(), news.id, attempt, news.instance, kind, actions);
     act(actions);
   });
@@ -161,8 +161,8 @@
   });
 }
 
-void Router::names_changed(stagehinge::ListKind kind,
-                           const std::vector<stagehinge::WorkerEntry>& entries) {
+void Router::names_changed(scheduling::ListKind kind,
+                           const std::vector<scheduling::WorkerEntry>& entries) {
   post([this, kind,
         &entries] {  // by reference: lists come from sockets and timers, never from an action
     std::vector<Action> actions;
@@ -188,8 +188,8 @@
     at_.erase(instance);
 }
 
-std::vector<stagehinge::RequestId> Router::ids() const {
-  std::vector<stagehinge::RequestId> all;
+std::vector<scheduling::RequestId> Router::ids() const {
+  std::vector<scheduling::RequestId> all;
   for (const auto& [id, ref] : by_id_)
     all.push_back(id);
   return all;
@@ -243,7 +243,7 @@
   });
 }
 
-void Router::retune(const stagehinge::Settings& settings) {
+void Router::retune(const scheduling::Settings& settings) {
   post([this, settings] {
     settings_ = settings;
     dispatcher_->on_settings(settings);
@@ -303,7 +303,7 @@
   }
 }
 
-Router::Command* Router::by_id(stagehinge::RequestId id, CommandRef& ref) {
+Router::Command* Router::by_id(scheduling::RequestId id, CommandRef& ref) {
   auto it = by_id_.find(id);
   if (it == by_id_.end())
     return nullptr;
@@ -433,9 +433,9 @@
   }
 }
 
-void Router::tell_end(stagehinge::RequestId id, int attempt, bool final,
+void Router::tell_end(scheduling::RequestId id, int attempt, bool final,
                       const std::string& instance, Outcome outcome, const LoadReport& report) {
-  stagehinge::AttemptEnd e;
+  scheduling::AttemptEnd e;
   e.id = id;
   e.attempt = attempt;
   e.final = final;
@@ -507,4 +507,4 @@
   table_.erase(ref);
 }
 
-}  // namespace oatledge::routing
+}  // namespace dispatcher::routing
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -9,24 +9,24 @@
 #include <unordered_map>
 #include <unordered_set>
 
-#include "../operations/figures.h"
-#include "../transport/deadlines.h"
-#include "ports.h"
+#include "operations/metrics.h"
+#include "routing/ports.h"
+#include "transport/deadlines.h"
 
-namespace oatledge::routing {
+namespace dispatcher::routing {
 
 struct NewCommand {
-  stagehinge::Request request;
+  scheduling::Request request;
   std::shared_ptr<const Cargo> cargo;
 };
 
 struct Progress {  // what an instance tells of a job by its own call
-  stagehinge::RequestId id = 0;
+  scheduling::RequestId id = 0;
   std::string instance;
   bool started = false;
   bool progress = false;  // else it has ended
-  stagehinge::Outcome outcome = stagehinge::Outcome::Failure;
-  stagehinge::LoadReport report;
+  scheduling::Outcome outcome = scheduling::Outcome::Failure;
+  scheduling::LoadReport report;
   std::string result;
 };
 
@@ -40,39 +40,39 @@
   };
   using Log = std::function<void(const std::string&)>;
 
-  Router(const stagehinge::Settings& settings, std::size_t most_commands,
+  Router(const scheduling::Settings& settings, std::size_t most_commands,
          const transport::Clock& clock, transport::Deadlines& deadlines, Ports ports,
          operations::Figures& figures, Log log);
 
   // Starts the decisions on the list as last held.
-  void start(const std::vector<stagehinge::WorkerEntry>& known);
+  void start(const std::vector<scheduling::WorkerEntry>& known);
 
   // `known` learns the command's number before anything is decided: its answer may come inside this
   // very call.
   enum class Taking { Taken, Full, Duplicate };
   Taking take(NewCommand command, const std::function<void(CommandRef)>& known);
   void client_gone(CommandRef command);
-  void attempt_ended(AttemptRef attempt, stagehinge::Outcome outcome,
-                     const stagehinge::LoadReport& report, Reply reply = {});
+  void attempt_ended(AttemptRef attempt, scheduling::Outcome outcome,
+                     const scheduling::LoadReport& report, Reply reply = {});
   void progress(Progress news);
-  void probe_ended(const std::string& instance, stagehinge::Outcome outcome,
-                   const stagehinge::LoadReport& report);
-  void names_changed(stagehinge::ListKind kind,
-                     const std::vector<stagehinge::WorkerEntry>& entries);
+  void probe_ended(const std::string& instance, scheduling::Outcome outcome,
+                   const scheduling::LoadReport& report);
+  void names_changed(scheduling::ListKind kind,
+                     const std::vector<scheduling::WorkerEntry>& entries);
   void peers_have(const std::string& instance, int jobs);
-  void retune(const stagehinge::Settings& settings);  // for the commands to come
+  void retune(const scheduling::Settings& settings);  // for the commands to come
   // The other process of this dispatcher, during an upgrade: what it has open, or had a moment ago,
   // is as good as known here.
-  void elsewhere(const std::vector<stagehinge::RequestId>& ids) {
+  void elsewhere(const std::vector<scheduling::RequestId>& ids) {
     elsewhere_.insert(ids.begin(), ids.end());
   }
-  bool knows(stagehinge::RequestId id) const { return by_id_.contains(id); }
-  std::vector<stagehinge::RequestId> ids() const;  // open here, or a moment ago
+  bool knows(scheduling::RequestId id) const { return by_id_.contains(id); }
+  std::vector<scheduling::RequestId> ids() const;  // open here, or a moment ago
   // A command that another process goes on with, to its answer: nobody is told anything of it here.
   // What is to know of it, or nothing where that cannot be: it is over, or an attempt is not out,
   // or not yet taken.
   struct Given {
-    stagehinge::RequestId id = 0;
+    scheduling::RequestId id = 0;
     std::size_t job_class = 0;
     transport::Time ends{};
     std::vector<std::string> instances;
@@ -80,12 +80,12 @@
   std::vector<CommandRef> open_refs() const;
   std::optional<Given> look_at(CommandRef command) const;
   void give_away(CommandRef command);
-  void on_taken(std::function<void(stagehinge::RequestId)> tell) { tell_taken_ = std::move(tell); }
+  void on_taken(std::function<void(scheduling::RequestId)> tell) { tell_taken_ = std::move(tell); }
   void fail_all();  // the program must end: what is still open gets its answer now
 
   void talk_to(PeerSide& peers) { ports_.peers = &peers; }  // before start()
-  // A line for each thing that happens to a command, for lab/fleet_table.py; the one log that grows
-  // with traffic.
+  // A line for each thing that happens to a command, for testbed/fleet_table.py; the one log that
+  // grows with traffic.
   void trace(Log trace) { trace_ = std::move(trace); }
 
   std::size_t open_commands() const { return open_; }
@@ -102,7 +102,7 @@
     bool ran = false;  // ran: it has ended so that it may have
   };
   struct Command {
-    stagehinge::RequestId id = 0;
+    scheduling::RequestId id = 0;
     std::size_t job_class = 0;
     int most_attempts = 1;  // as the settings were when it came
     std::shared_ptr<const Cargo> cargo;
@@ -112,32 +112,32 @@
     transport::Deadlines::Handle deadline;
   };
 
-  void note(const char* what, stagehinge::RequestId id, int attempt, std::string_view text,
+  void note(const char* what, scheduling::RequestId id, int attempt, std::string_view text,
             const char* more = "") const;
   void post(std::function<void()> event);
-  void act(std::vector<stagehinge::Action>& actions);
-  void carry_out(const stagehinge::Action& action);
-  void send(const stagehinge::Action& action);
-  void answer(const stagehinge::Action& action);
-  void cancel(const stagehinge::Action& action);
-  void end_attempt(AttemptRef ref, stagehinge::Outcome outcome,
-                   const stagehinge::LoadReport& report, Reply reply);
+  void act(std::vector<scheduling::Action>& actions);
+  void carry_out(const scheduling::Action& action);
+  void send(const scheduling::Action& action);
+  void answer(const scheduling::Action& action);
+  void cancel(const scheduling::Action& action);
+  void end_attempt(AttemptRef ref, scheduling::Outcome outcome,
+                   const scheduling::LoadReport& report, Reply reply);
   bool may_have_run(CommandRef ref, const Command& c) const;
   void answer_unserved(CommandRef ref,
                        Command& c);  // failed, or refused where nothing of it has begun
   bool spent(const Command& c) const;
-  void give_up_spent(CommandRef ref, Command& c, stagehinge::Outcome outcome);
-  void tell_end(stagehinge::RequestId id, int attempt, bool final, const std::string& instance,
-                stagehinge::Outcome outcome, const stagehinge::LoadReport& report);
+  void give_up_spent(CommandRef ref, Command& c, scheduling::Outcome outcome);
+  void tell_end(scheduling::RequestId id, int attempt, bool final, const std::string& instance,
+                scheduling::Outcome outcome, const scheduling::LoadReport& report);
   void time_up(CommandRef ref);
   void count(const std::string& instance, int more);
   void close_answered(CommandRef ref, Command& c);
-  void nack(CommandRef ref, Command& c, stagehinge::Duration retry_after);
+  void nack(CommandRef ref, Command& c, scheduling::Duration retry_after);
   void fail(CommandRef ref, Command& c);
   void drop_client(CommandRef ref);
-  Command* by_id(stagehinge::RequestId id, CommandRef& ref);
+  Command* by_id(scheduling::RequestId id, CommandRef& ref);
 
-  stagehinge::Settings settings_;
+  scheduling::Settings settings_;
   const transport::Clock& clock_;
   transport::Deadlines& deadlines_;
   Ports ports_;
@@ -145,16 +145,16 @@
   Log log_;
   Log trace_;
   mutable transport::SlotTable<Command> table_;
-  std::unordered_map<stagehinge::RequestId, CommandRef>
+  std::unordered_map<scheduling::RequestId, CommandRef>
       by_id_;  // also of commands that ended a moment ago
-  std::unordered_set<stagehinge::RequestId> elsewhere_;
-  std::function<void(stagehinge::RequestId)> tell_taken_;
-  std::deque<stagehinge::RequestId> ended_;  // the ids of those, the longest ended first
-  std::optional<stagehinge::Dispatcher> dispatcher_;
+  std::unordered_set<scheduling::RequestId> elsewhere_;
+  std::function<void(scheduling::RequestId)> tell_taken_;
+  std::deque<scheduling::RequestId> ended_;  // the ids of those, the longest ended first
+  std::optional<scheduling::Dispatcher> dispatcher_;
   std::deque<std::function<void()>> events_;
   bool running_ = false;
   std::size_t open_ = 0;
   std::unordered_map<std::string, int> at_;  // open attempts, by instance
 };
 
-}  // namespace oatledge::routing
+}  // namespace dispatcher::routing
--- a/src/data.cpp
+++ b/src/scheduling/cost_model.cpp
@@ -4,9 +4,9 @@
 #include <cmath>
 #include <stdexcept>
 
-#include "stagehinge/dispatcher.h"
+#include "dispatcher/scheduling/scheduler.h"
 
-namespace stagehinge {
+namespace dispatcher::scheduling {
 namespace {
 
 using std::chrono::seconds;
@@ -29,7 +29,7 @@
 void validate(const Settings& s) {
   auto need = [](bool ok, const char* what) {
     if (!ok)
-      throw std::invalid_argument(std::string("stagehinge: ") + what);
+      throw std::invalid_argument(std::string("settings: ") + what);
   };
   need(!s.classes.empty(), "settings name no class");
   need(s.balancers >= 1, "balancers must be at least 1");
@@ -149,4 +149,4 @@
   bent_ = kKeep * bent_ + std::pow(hint_ms, slope());
 }
 
-}  // namespace stagehinge
+}  // namespace dispatcher::scheduling
--- a/src/logic.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -1,8 +1,8 @@
-// Every decision of stagehinge, in the order of a job's life: the list and the pools, the cutoff,
+// Every scheduling decision, in the order of a job's life: the list and the pools, the cutoff,
 // arrival, the choice of a worker, sending, holding, watching, the end. SITA-U-fair (Schroeder and
 // Harchol-Balter) is the ordinary path; what departs from it is marked EXCEPTION with the condition
 // under which it acts.
-#include "stagehinge/dispatcher.h"
+#include "dispatcher/scheduling/scheduler.h"
 
 #include <algorithm>
 #include <cmath>
@@ -13,9 +13,9 @@
 #include <set>
 #include <unordered_map>
 
-#include "state.h"
+#include "scheduling/state.h"
 
-namespace stagehinge {
+namespace dispatcher::scheduling {
 namespace {
 
 using std::chrono::seconds;
@@ -1497,4 +1497,4 @@
   return it != logic_->workers_.end() && (!it->second.ready || logic_->doubt(it->second) >= kDown);
 }
 
-}  // namespace stagehinge
+}  // namespace dispatcher::scheduling
--- a/src/state.h
+++ b/src/scheduling/state.h
@@ -12,9 +12,9 @@
 #include <utility>
 #include <vector>
 
-#include "stagehinge/dispatcher.h"
+#include "dispatcher/scheduling/scheduler.h"
 
-namespace stagehinge {
+namespace dispatcher::scheduling {
 
 constexpr double kGuessedSlots = 2;  // of a worker that has shown nothing yet
 constexpr Duration kTrialGap{1000};
@@ -158,4 +158,4 @@
   bool operator>(const Due& o) const { return std::tie(at, order) > std::tie(o.at, o.order); }
 };
 
-}  // namespace stagehinge
+}  // namespace dispatcher::scheduling
--- a/src/settings/faults.h
+++ b/src/settings/parse_error_collector.h
@@ -5,7 +5,7 @@
 
 #include <string>
 
-namespace oatledge::settings {
+namespace dispatcher::settings {
 
 // Protobuf counts lines and columns from 0, editors from 1.
 class Faults final : public google::protobuf::io::ErrorCollector {
@@ -28,4 +28,4 @@
   std::string text_;
 };
 
-}  // namespace oatledge::settings
+}  // namespace dispatcher::settings
--- a/src/settings/reader.h
+++ b/src/settings/settings_reader.h
@@ -1,9 +1,9 @@
 // The settings as path=value pairs, and the load reports whose columns they name. Read in this one
 // place for the simulator's wire and for the real dispatcher's configuration, so that both fill the
-// same stagehinge::Settings.
+// same scheduling::Settings.
 #pragma once
 
-#include <stagehinge/dispatcher.h>
+#include "dispatcher/scheduling/scheduler.h"
 
 #include <algorithm>
 #include <charconv>
@@ -13,7 +13,7 @@
 #include <string>
 #include <string_view>
 
-namespace stagehinge::settings {
+namespace dispatcher::settings {
 
 struct Malformed : std::runtime_error {
   using std::runtime_error::runtime_error;
@@ -34,8 +34,8 @@
   bool x1_is_free_memory = false;
 };
 
-inline stagehinge::LoadReport read_report(std::string_view pairs, const Columns& columns) {
-  stagehinge::LoadReport report;
+inline scheduling::LoadReport read_report(std::string_view pairs, const Columns& columns) {
+  scheduling::LoadReport report;
   while (!pairs.empty() && pairs != "-") {
     std::size_t comma = pairs.find(',');
     std::string_view pair = pairs.substr(0, comma);
@@ -87,8 +87,8 @@
       throw Malformed("a setting is out of range");
     return static_cast<int>(value);
   }
-  stagehinge::Duration time(const std::string& key) const {
-    return stagehinge::Duration(number(key, 0));
+  scheduling::Duration time(const std::string& key) const {
+    return scheduling::Duration(number(key, 0));
   }
   bool yes(const std::string& key) const { return text(key) == "true" || text(key) == "1"; }
   std::optional<double> item(const std::string& key,
@@ -110,8 +110,8 @@
   std::map<std::string, std::string> values_;
 };
 
-inline stagehinge::ClassSettings read_class(const SettingsReader& in, int index) {
-  using namespace stagehinge;
+inline scheduling::ClassSettings read_class(const SettingsReader& in, int index) {
+  using namespace dispatcher::scheduling;
   std::string lane = "Lanes." + std::to_string(index) + ".";
   auto at = static_cast<std::size_t>(index);
   ClassSettings c;
@@ -130,8 +130,8 @@
   return c;
 }
 
-inline Columns read_settings(const SettingsReader& in, stagehinge::Settings& s) {
-  using namespace stagehinge;
+inline Columns read_settings(const SettingsReader& in, scheduling::Settings& s) {
+  using namespace dispatcher::scheduling;
   s.zone = in.whole("Az", 0);
   s.balancers = in.whole("Balancers", 1);
   s.index = in.whole("Index", 0);
@@ -175,8 +175,8 @@
   return {in.text("Extra.ReportX0") == "free_slots", in.text("Extra.ReportX1") == "free_memory"};
 }
 
-inline Columns read_settings(std::string_view pairs, stagehinge::Settings& s) {
+inline Columns read_settings(std::string_view pairs, scheduling::Settings& s) {
   return read_settings(SettingsReader(pairs), s);
 }
 
-}  // namespace stagehinge::settings
+}  // namespace dispatcher::settings
--- a/src/settings/permits.cpp
+++ b/src/settings/settings_summary.cpp
@@ -1,19 +1,19 @@
-#include "permits.h"
+#include "settings/settings_summary.h"
 
 #include <algorithm>
 #include <cmath>
 #include <iomanip>
 #include <sstream>
 
-namespace oatledge::settings {
+namespace dispatcher::settings {
 namespace {
 
-using stagehinge::ClassSettings;
-using stagehinge::Duration;
-using stagehinge::Effect;
-using stagehinge::Group;
-using stagehinge::ReportMode;
-using stagehinge::Settings;
+using scheduling::ClassSettings;
+using scheduling::Duration;
+using scheduling::Effect;
+using scheduling::Group;
+using scheduling::ReportMode;
+using scheduling::Settings;
 
 std::string number(double value) {
   std::ostringstream out;
@@ -155,4 +155,4 @@
   return out;
 }
 
-}  // namespace oatledge::settings
+}  // namespace dispatcher::settings
--- a/src/settings/permits.h
+++ b/src/settings/settings_summary.h
@@ -2,12 +2,12 @@
 // for whoever brings up a deployment. Says, decides nothing.
 #pragma once
 
-#include <stagehinge/dispatcher.h>
+#include "dispatcher/scheduling/scheduler.h"
 
 #include <string>
 #include <vector>
 
-namespace oatledge::settings {
+namespace dispatcher::settings {
 
 // Of the configuration beside the settings.
 struct Place {
@@ -20,10 +20,10 @@
 };
 
 // A table for people, several lines, each ended. Times are in milliseconds.
-std::string describe(const stagehinge::Settings& settings, const Place& place);
+std::string describe(const scheduling::Settings& settings, const Place& place);
 
 // One line each, without an end; none where nothing contradicts itself. All of it can be worked
 // with.
-std::vector<std::string> contradictions(const stagehinge::Settings& settings, const Place& place);
+std::vector<std::string> contradictions(const scheduling::Settings& settings, const Place& place);
 
-}  // namespace oatledge::settings
+}  // namespace dispatcher::settings
--- a/src/simhost/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -4,7 +4,7 @@
 
 #include <cstdio>
 
-#include "host.h"
+#include "simulator_adapter/host.h"
 
 namespace {
 
@@ -19,7 +19,7 @@
 }
 
 int run() {
-  simhost::Host host;
+  dispatcher::simulator_adapter::Host host;
   std::string buffer;
   std::size_t line_number = 0;
   std::array<char, 1 << 16> chunk;
@@ -33,15 +33,16 @@
         if (host.line(line) && !write_all(host.reply()))
           return 1;
       } catch (const std::exception& e) {
-        std::fprintf(stderr, "stagehinge_simhost: line %zu: %s: %.200s\n", line_number, e.what(),
-                     std::string(line).c_str());
+        std::fprintf(stderr, "dispatcher_simulator_adapter: line %zu: %s: %.200s\n", line_number,
+                     e.what(), std::string(line).c_str());
         return 1;
       }
     }
     buffer.erase(0, start);
   }
   if (!buffer.empty() || host.in_batch()) {
-    std::fprintf(stderr, "stagehinge_simhost: line %zu: input ends inside a batch: %.200s\n",
+    std::fprintf(stderr,
+                 "dispatcher_simulator_adapter: line %zu: input ends inside a batch: %.200s\n",
                  line_number + 1, buffer.c_str());
     return 1;
   }
--- a/src/simhost/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -1,7 +1,7 @@
 // The words and values of the wire, each read or written in one place.
 #pragma once
 
-#include <stagehinge/dispatcher.h>
+#include "dispatcher/scheduling/scheduler.h"
 
 #include <charconv>
 #include <cmath>
@@ -9,15 +9,15 @@
 #include <string>
 #include <string_view>
 
-#include "../settings/reader.h"
+#include "settings/settings_reader.h"
 
-namespace simhost {
+namespace dispatcher::simulator_adapter {
 
-using stagehinge::settings::Columns;
-using stagehinge::settings::Malformed;
-using stagehinge::settings::parse_number;
-using stagehinge::settings::read_report;
-using stagehinge::settings::read_settings;
+using settings::Columns;
+using settings::Malformed;
+using settings::parse_number;
+using settings::read_report;
+using settings::read_settings;
 
 // The space-separated parts of one line.
 class Fields {
@@ -51,15 +51,15 @@
       return std::nullopt;
     return parse_number<double>(w);
   }
-  stagehinge::Duration time() {
+  scheduling::Duration time() {
     double value = parse_number<double>(word());
     if (!std::isfinite(value))
       throw Malformed("a time is not finite");
-    return stagehinge::Duration(value);
+    return scheduling::Duration(value);
   }
-  stagehinge::RequestId hex_id() {
+  scheduling::RequestId hex_id() {
     std::string_view w = word();
-    stagehinge::RequestId id = 0;
+    scheduling::RequestId id = 0;
     auto [end, error] = std::from_chars(w.data(), w.data() + w.size(), id, 16);
     if (w.size() != 16 || error != std::errc() || end != w.data() + w.size())
       throw Malformed("not a request id");
@@ -72,16 +72,16 @@
 
 struct Row {
   std::string worker;
-  stagehinge::WorkerEntry values;  // all but the name
-  stagehinge::WorkerEntry entry() const {
-    stagehinge::WorkerEntry e = values;
+  scheduling::WorkerEntry values;  // all but the name
+  scheduling::WorkerEntry entry() const {
+    scheduling::WorkerEntry e = values;
     e.worker = worker;
     return e;
   }
 };
 
 inline Row read_row(Fields& f) {
-  using stagehinge::Readiness;
+  using scheduling::Readiness;
   Row row;
   row.worker = f.word();
   row.values.zone = f.integer<int>();
@@ -95,12 +95,12 @@
   row.values.size = f.optional_number().value_or(1);
   std::optional<double> since = f.optional_number();
   if (since && *since != 0)
-    row.values.online_since = stagehinge::Time(stagehinge::Duration(*since));
+    row.values.online_since = scheduling::Time(scheduling::Duration(*since));
   return row;
 }
 
-inline std::optional<stagehinge::ListKind> read_list_kind(std::string_view word) {
-  using stagehinge::ListKind;
+inline std::optional<scheduling::ListKind> read_list_kind(std::string_view word) {
+  using scheduling::ListKind;
   if (word == "Partial")
     return ListKind::Partial;
   if (word == "Complete")
@@ -112,8 +112,8 @@
   return std::nullopt;
 }
 
-inline stagehinge::Outcome read_outcome(std::string_view word) {
-  using stagehinge::Outcome;
+inline scheduling::Outcome read_outcome(std::string_view word) {
+  using scheduling::Outcome;
   if (word == "success")
     return Outcome::Success;
   if (word == "overloaded")
@@ -133,7 +133,7 @@
 
 // Three decimals; by whole thousandths where they fit, since the library's way for fractions takes
 // far longer.
-inline void write_time(stagehinge::Duration d, std::string& out) {
+inline void write_time(scheduling::Duration d, std::string& out) {
   char text[32];
   double thousandths = std::round(d.count() * 1000);
   if (!(thousandths >= 0 && thousandths < 9e15)) {
@@ -149,7 +149,7 @@
     out += static_cast<char>('0' + whole / unit % 10);
 }
 
-inline void write_id(stagehinge::RequestId id, std::string& out) {
+inline void write_id(scheduling::RequestId id, std::string& out) {
   for (int shift = 60; shift >= 0; shift -= 4)
     out += "0123456789abcdef"[(id >> shift) & 15];
 }
@@ -179,8 +179,8 @@
   out += '\n';
 }
 
-inline void write_action(const stagehinge::Action& a, std::string& out) {
-  using stagehinge::ActionKind;
+inline void write_action(const scheduling::Action& a, std::string& out) {
+  using scheduling::ActionKind;
   switch (a.kind) {
     case ActionKind::Send:
       out += "RELAY ";
@@ -225,4 +225,4 @@
   out += '\n';
 }
 
-}  // namespace simhost
+}  // namespace dispatcher::simulator_adapter
--- a/src/streaming/budget.cpp
+++ b/src/streaming/memory_budget.cpp
@@ -1,8 +1,8 @@
-#include "budget.h"
+#include "streaming/memory_budget.h"
 
 #include <algorithm>
 
-namespace oatledge::streaming {
+namespace dispatcher::streaming {
 
 Budget::Budget(std::size_t ceiling, std::size_t window)
     : total_(std::max<std::size_t>(1, ceiling / kChunk)),
@@ -45,4 +45,4 @@
     --budget_->used_;
 }
 
-}  // namespace oatledge::streaming
+}  // namespace dispatcher::streaming
--- a/src/streaming/budget.h
+++ b/src/streaming/memory_budget.h
@@ -13,7 +13,7 @@
 #include <optional>
 #include <utility>
 
-namespace oatledge::streaming {
+namespace dispatcher::streaming {
 
 constexpr std::size_t kChunk = 16 << 10;  // bytes
 
@@ -65,4 +65,4 @@
   std::size_t most_used_ = 0;
 };
 
-}  // namespace oatledge::streaming
+}  // namespace dispatcher::streaming
--- a/src/streaming/pipe.cpp
+++ b/src/streaming/pipe.cpp
@@ -1,9 +1,9 @@
-#include "pipe.h"
+#include "streaming/pipe.h"
 
 #include <algorithm>
 #include <cstring>
 
-namespace oatledge::streaming {
+namespace dispatcher::streaming {
 
 Pipe::Pipe(Budget::Lane lane, std::size_t replay_bytes)
     : lane_(std::move(lane)), replay_bytes_(replay_bytes), let_go_(replay_bytes == 0) {}
@@ -123,4 +123,4 @@
   }
 }
 
-}  // namespace oatledge::streaming
+}  // namespace dispatcher::streaming
--- a/src/streaming/pipe.h
+++ b/src/streaming/pipe.h
@@ -13,10 +13,10 @@
 #include <memory>
 #include <string_view>
 
-#include "../transport/buffer.h"
-#include "budget.h"
+#include "streaming/memory_budget.h"
+#include "transport/buffer.h"
 
-namespace oatledge::streaming {
+namespace dispatcher::streaming {
 
 class Pipe {
  public:
@@ -76,4 +76,4 @@
   End end_ = End::Open;
 };
 
-}  // namespace oatledge::streaming
+}  // namespace dispatcher::streaming
--- a/src/transport/address.h
+++ b/src/transport/address.h
@@ -3,9 +3,9 @@
 
 #include <string>
 
-#include "glib.h"
+#include "transport/glib.h"
 
-namespace oatledge::transport {
+namespace dispatcher::transport {
 
 inline ObjectPtr<GSocketAddress> parse_address(
     const std::string& text) {  // HOST:PORT; null: it is no address
@@ -21,4 +21,4 @@
       g_inet_socket_address_new_from_string(host.c_str(), static_cast<guint>(number)));
 }
 
-}  // namespace oatledge::transport
+}  // namespace dispatcher::transport
--- a/src/transport/buffer.h
+++ b/src/transport/buffer.h
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-namespace oatledge::transport {
+namespace dispatcher::transport {
 
 // Bytes with an owner that they keep alive. The owner may grow behind them but must not move them.
 struct Slice {
@@ -85,4 +85,4 @@
   std::size_t size_ = 0;
 };
 
-}  // namespace oatledge::transport
+}  // namespace dispatcher::transport
--- a/src/transport/clock.h
+++ b/src/transport/clock.h
@@ -4,7 +4,7 @@
 
 #include <chrono>
 
-namespace oatledge::transport {
+namespace dispatcher::transport {
 
 using Duration = std::chrono::duration<double, std::milli>;
 using Time = std::chrono::time_point<std::chrono::steady_clock, Duration>;
@@ -20,4 +20,4 @@
   Time now() const override { return std::chrono::steady_clock::now(); }
 };
 
-}  // namespace oatledge::transport
+}  // namespace dispatcher::transport
--- a/src/transport/datagrams.cpp
+++ b/src/transport/datagrams.cpp
@@ -1,11 +1,11 @@
-#include "datagrams.h"
+#include "transport/datagrams.h"
 
 #include <array>
 #include <stdexcept>
 
-#include "address.h"
+#include "transport/address.h"
 
-namespace oatledge::transport {
+namespace dispatcher::transport {
 namespace {
 
 constexpr int kReadsATurn = 64;  // the rest waits in the kernel, or is lost there
@@ -84,4 +84,4 @@
     g_socket_send_to(socket_.get(), peer_.get(), bytes.data(), bytes.size(), nullptr, nullptr);
 }
 
-}  // namespace oatledge::transport
+}  // namespace dispatcher::transport
--- a/src/transport/datagrams.h
+++ b/src/transport/datagrams.h
@@ -5,10 +5,10 @@
 #include <string>
 #include <string_view>
 
-#include "descriptor.h"
-#include "glib.h"
+#include "transport/descriptor.h"
+#include "transport/glib.h"
 
-namespace oatledge::transport {
+namespace dispatcher::transport {
 
 class Datagrams {
  public:
@@ -35,4 +35,4 @@
   ObjectPtr<GSocketAddress> peer_;
 };
 
-}  // namespace oatledge::transport
+}  // namespace dispatcher::transport
--- a/src/transport/deadlines.cpp
+++ b/src/transport/deadlines.cpp
@@ -1,6 +1,6 @@
-#include "deadlines.h"
+#include "transport/deadlines.h"
 
-namespace oatledge::transport {
+namespace dispatcher::transport {
 
 Deadlines::Handle Deadlines::add(Time at, std::function<void()> fire) {
   due_.emplace(std::pair(at, ++order_), std::move(fire));
@@ -35,4 +35,4 @@
   return due_.begin()->first.first;
 }
 
-}  // namespace oatledge::transport
+}  // namespace dispatcher::transport
--- a/src/transport/deadlines.h
+++ b/src/transport/deadlines.h
@@ -7,9 +7,9 @@
 #include <optional>
 #include <utility>
 
-#include "clock.h"
+#include "transport/clock.h"
 
-namespace oatledge::transport {
+namespace dispatcher::transport {
 
 class Deadlines {
  public:
@@ -29,4 +29,4 @@
   std::uint64_t order_ = 0;
 };
 
-}  // namespace oatledge::transport
+}  // namespace dispatcher::transport
--- a/src/transport/descriptor.h
+++ b/src/transport/descriptor.h
@@ -6,7 +6,7 @@
 
 #include <utility>
 
-namespace oatledge::transport {
+namespace dispatcher::transport {
 
 class Descriptor {
  public:
@@ -36,4 +36,4 @@
   int fd_ = -1;
 };
 
-}  // namespace oatledge::transport
+}  // namespace dispatcher::transport
--- a/src/transport/gio_network.cpp
+++ b/src/transport/gio_network.cpp
@@ -1,4 +1,4 @@
-#include "gio_network.h"
+#include "transport/gio_network.h"
 
 #include <glib-unix.h>
 #include <netinet/in.h>
@@ -10,9 +10,9 @@
 #include <array>
 #include <stdexcept>
 
-#include "address.h"
+#include "transport/address.h"
 
-namespace oatledge::transport {
+namespace dispatcher::transport {
 namespace {
 
 // A peer that is this far behind has stopped reading. The longest answer and the rest of another
@@ -596,4 +596,4 @@
     resume_accepting();
 }
 
-}  // namespace oatledge::transport
+}  // namespace dispatcher::transport
--- a/src/transport/gio_network.h
+++ b/src/transport/gio_network.h
@@ -9,11 +9,11 @@
 #include <string>
 #include <vector>
 
-#include "deadlines.h"
-#include "glib.h"
-#include "network.h"
+#include "transport/deadlines.h"
+#include "transport/glib.h"
+#include "transport/network.h"
 
-namespace oatledge::transport {
+namespace dispatcher::transport {
 
 class GioNetwork final : public Network {
  public:
@@ -120,4 +120,4 @@
   Deadlines::Handle accept_again_;
 };
 
-}  // namespace oatledge::transport
+}  // namespace dispatcher::transport
--- a/src/transport/glib.h
+++ b/src/transport/glib.h
@@ -5,7 +5,7 @@
 
 #include <memory>
 
-namespace oatledge::transport {
+namespace dispatcher::transport {
 
 struct ObjectUnref {
   void operator()(gpointer object) const { g_object_unref(object); }
@@ -43,4 +43,4 @@
   GError* error_ = nullptr;
 };
 
-}  // namespace oatledge::transport
+}  // namespace dispatcher::transport
--- a/src/transport/local_link.cpp
+++ b/src/transport/local_link.cpp
@@ -1,4 +1,4 @@
-#include "local_link.h"
+#include "transport/local_link.h"
 
 #include <gio/gunixconnection.h>
 #include <gio/gunixfdmessage.h>
@@ -11,7 +11,7 @@
 #include <cstdio>
 #include <stdexcept>
 
-namespace oatledge::transport {
+namespace dispatcher::transport {
 namespace {
 
 constexpr std::size_t kMostPacket = 192 << 10;  // longer ones do not fit in a socket's buffer
@@ -222,4 +222,4 @@
   return G_SOURCE_CONTINUE;
 }
 
-}  // namespace oatledge::transport
+}  // namespace dispatcher::transport
--- a/src/transport/local_link.h
+++ b/src/transport/local_link.h
@@ -7,11 +7,11 @@
 #include <string>
 #include <vector>
 
-#include "clock.h"
-#include "descriptor.h"
-#include "glib.h"
+#include "transport/clock.h"
+#include "transport/descriptor.h"
+#include "transport/glib.h"
 
-namespace oatledge::transport {
+namespace dispatcher::transport {
 
 struct Packet {
   std::string bytes;
@@ -69,4 +69,4 @@
   SourcePtr source_;
 };
 
-}  // namespace oatledge::transport
+}  // namespace dispatcher::transport
--- a/src/transport/loop.cpp
+++ b/src/transport/loop.cpp
@@ -1,8 +1,8 @@
-#include "loop.h"
+#include "transport/loop.h"
 
 #include <algorithm>
 
-namespace oatledge::transport {
+namespace dispatcher::transport {
 namespace {
 
 gboolean woken(gpointer) {
@@ -43,4 +43,4 @@
   deadlines_.sweep(clock_.now());
 }
 
-}  // namespace oatledge::transport
+}  // namespace dispatcher::transport
--- a/src/transport/loop.h
+++ b/src/transport/loop.h
@@ -3,10 +3,10 @@
 
 #include <functional>
 
-#include "deadlines.h"
-#include "glib.h"
+#include "transport/deadlines.h"
+#include "transport/glib.h"
 
-namespace oatledge::transport {
+namespace dispatcher::transport {
 
 class Loop {
  public:
@@ -28,4 +28,4 @@
   SourcePtr wake_;  // the one timed source: it only ends the wait when the earliest deadline comes
 };
 
-}  // namespace oatledge::transport
+}  // namespace dispatcher::transport
--- a/src/transport/network.h
+++ b/src/transport/network.h
@@ -6,11 +6,11 @@
 #include <string>
 #include <string_view>
 
-#include "buffer.h"
-#include "descriptor.h"
-#include "slots.h"
+#include "transport/buffer.h"
+#include "transport/descriptor.h"
+#include "transport/slots.h"
 
-namespace oatledge::transport {
+namespace dispatcher::transport {
 
 // What happens on a connection. No call comes from inside a call to Network, and none after
 // close().
@@ -72,4 +72,4 @@
   virtual void again(SlotRef connection) = 0;
 };
 
-}  // namespace oatledge::transport
+}  // namespace dispatcher::transport
--- a/src/transport/slots.h
+++ b/src/transport/slots.h
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-namespace oatledge::transport {
+namespace dispatcher::transport {
 
 struct SlotRef {
   std::uint32_t slot = UINT32_MAX;
@@ -99,4 +99,4 @@
   std::vector<std::uint32_t> free_;
 };
 
-}  // namespace oatledge::transport
+}  // namespace dispatcher::transport
--- a/lab/fleet_table.py
+++ b/testbed/fleet_table.py
@@ -1,7 +1,7 @@
 #!/usr/bin/env python3
 """What a whole fleet did, second by second, from the logs of its dispatchers.
 
-    lab/fleet_table.py FOLDER [--by worker]
+    testbed/fleet_table.py FOLDER [--by worker]
 
 FOLDER holds one .log a dispatcher, each line `SECONDS KIND: TEXT`, of programs started with --trace. The first form
 prints a row for each second, the second one for each order worker. Counts are sums over all dispatchers:
--- a/lab/main.cpp
+++ b/testbed/main.cpp
@@ -1,4 +1,4 @@
-// oatledge-lab: plays a scenario on processes of the program and judges it from outside.
+// dispatcher-testbed: plays a scenario on processes of the program and judges it from outside.
 #include <google/protobuf/text_format.h>
 #include <json/reader.h>
 #include <json/writer.h>
@@ -12,14 +12,14 @@
 #include <map>
 #include <sstream>
 
-#include "../src/settings/faults.h"
-#include "process_fleet.h"
 #include "scenario.pb.h"
-#include "starved.h"
+#include "settings/parse_error_collector.h"
+#include "testbed/processes/process_fleet.h"
+#include "testbed/stubs/cpu_starvation.h"
 
 namespace {
 
-using namespace oatledge::lab;
+using namespace dispatcher::testbed;
 using google::protobuf::TextFormat;
 
 double now_s() {
@@ -28,7 +28,7 @@
 
 [[noreturn]] void bad(const std::string& path, const TextFormat::ParseLocation& at,
                       const std::string& what) {
-  oatledge::settings::Faults faults(path);
+  dispatcher::settings::Faults faults(path);
   faults.AddError(at.line, at.column, what);
   throw std::invalid_argument(faults.text());
 }
@@ -48,7 +48,7 @@
   std::string text{std::istreambuf_iterator<char>(in), {}};
   if (!in)
     throw std::invalid_argument(path + ":1:1: cannot be read");
-  oatledge::settings::Faults faults(path);
+  dispatcher::settings::Faults faults(path);
   TextFormat::ParseInfoTree where;
   TextFormat::Parser parser;
   parser.RecordErrorsTo(&faults);
@@ -370,7 +370,7 @@
 }  // namespace
 
 int main(int argc, char** argv) try {
-  CLI::App line{"Plays scenarios on processes of oatledge, on the loopback."};
+  CLI::App line{"Plays scenarios on processes of the dispatcher, on the loopback."};
   line.require_subcommand(1);
   std::string folder;
   std::string id;
@@ -386,13 +386,13 @@
   std::string report;
   std::uint32_t dispatchers = 0;
   ProcessFleet::Setup setup;
-  setup.program = "build/oatledge";
+  setup.program = "build/dispatcher";
   setup.config = "examples/config.json";
   run->add_option("scenario", path, "in protobuf text format, proto/scenario.proto")->required();
   run->add_option("--dispatchers", dispatchers, "instead of the scenario's");
   run->add_option("--seed", setup.seed, "of what is lost, doubled and spoilt on the way");
   run->add_option("--report", report, "a folder for report.json and the logs");
-  run->add_option("--program", setup.program, "build/oatledge");
+  run->add_option("--program", setup.program, "build/dispatcher");
   run->add_option("--config", setup.config, "examples/config.json");
   CLI11_PARSE(line, argc, argv);
   if (following->parsed())
@@ -418,6 +418,6 @@
   std::fprintf(stderr, "%s\n", e.what());
   return 1;
 } catch (const std::exception& e) {
-  std::fprintf(stderr, "oatledge-lab: %s\n", e.what());
+  std::fprintf(stderr, "dispatcher-testbed: %s\n", e.what());
   return 1;
 }
--- a/lab/relays.cpp
+++ b/testbed/processes/datagram_relays.cpp
@@ -1,6 +1,6 @@
-#include "relays.h"
+#include "testbed/processes/datagram_relays.h"
 
-#include "address.h"
+#include "testbed/stubs/address.h"
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -12,7 +12,7 @@
 #include <chrono>
 #include <stdexcept>
 
-namespace oatledge::lab {
+namespace dispatcher::testbed {
 namespace {
 
 double now_ms() {
@@ -139,4 +139,4 @@
   }
 }
 
-}  // namespace oatledge::lab
+}  // namespace dispatcher::testbed
--- a/lab/relays.h
+++ b/testbed/processes/datagram_relays.h
@@ -14,7 +14,7 @@
 #include <thread>
 #include <vector>
 
-namespace oatledge::lab {
+namespace dispatcher::testbed {
 
 struct Link {  // one way
   bool cut = false;
@@ -71,4 +71,4 @@
   std::thread thread_;
 };
 
-}  // namespace oatledge::lab
+}  // namespace dispatcher::testbed
--- a/lab/process_fleet.cpp
+++ b/testbed/processes/process_fleet.cpp
@@ -1,4 +1,4 @@
-#include "process_fleet.h"
+#include "testbed/processes/process_fleet.h"
 
 #include <json/reader.h>
 #include <csignal>
@@ -9,7 +9,7 @@
 #include <fstream>
 #include <sstream>
 
-namespace oatledge::lab {
+namespace dispatcher::testbed {
 
 ProcessFleet::ProcessFleet(Setup setup)
     : setup_(std::move(setup)),
@@ -20,7 +20,7 @@
     members_.emplace_back();
   workers_.limit(setup_.slots, setup_.places);
   rate_ = setup_.rate;
-  char pattern[] = "/tmp/oatledge-keys-XXXXXX";
+  char pattern[] = "/tmp/dispatcher-keys-XXXXXX";
   folder_ = mkdtemp(pattern);
 }
 
@@ -249,4 +249,4 @@
   workers_.set_state(worker, "up");
 }
 
-}  // namespace oatledge::lab
+}  // namespace dispatcher::testbed
--- a/lab/process_fleet.h
+++ b/testbed/processes/process_fleet.h
@@ -14,10 +14,10 @@
 #include <thread>
 #include <vector>
 
-#include "relays.h"
-#include "standins.h"
+#include "testbed/processes/datagram_relays.h"
+#include "testbed/stubs/stubs.h"
 
-namespace oatledge::lab {
+namespace dispatcher::testbed {
 
 class ProcessFleet {
  public:
@@ -110,4 +110,4 @@
       drained_;  // by worker: the last order that may have gone there
 };
 
-}  // namespace oatledge::lab
+}  // namespace dispatcher::testbed
--- a/lab/fleet_scenes.h
+++ b/testbed/simulation/fleet_scenarios.h
@@ -3,9 +3,9 @@
 
 #include <algorithm>
 
-#include "fleet_world.h"
+#include "testbed/simulation/fleet_simulation.h"
 
-namespace oatledge::lab {
+namespace dispatcher::testbed {
 
 struct FleetScene {
   const char* name;
@@ -125,4 +125,4 @@
   return world.counts();
 }
 
-}  // namespace oatledge::lab
+}  // namespace dispatcher::testbed
--- a/lab/fleet_world.cpp
+++ b/testbed/simulation/fleet_simulation.cpp
@@ -1,16 +1,16 @@
-#include "fleet_world.h"
+#include "testbed/simulation/fleet_simulation.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-namespace oatledge::lab {
+namespace dispatcher::testbed {
 
-using stagehinge::Action;
-using stagehinge::ActionKind;
-using stagehinge::ListKind;
-using stagehinge::LoadReport;
-using stagehinge::Outcome;
+using scheduling::Action;
+using scheduling::ActionKind;
+using scheduling::ListKind;
+using scheduling::LoadReport;
+using scheduling::Outcome;
 
 namespace {
 
@@ -61,10 +61,10 @@
 
 FleetWorld::FleetWorld(Options options) : options_(options), random_(options.seed) {
   settings_.balancers = options.thinks_alone ? 1 : options.dispatchers;
-  stagehinge::ClassSettings c;
+  scheduling::ClassSettings c;
   c.name = "order";
-  c.effect = stagehinge::Effect::Unsafe;
-  c.group = stagehinge::Group::All;
+  c.effect = scheduling::Effect::Unsafe;
+  c.group = scheduling::Group::All;
   c.memory_span = Duration(5000);
   c.aim = Duration(300);
   c.stretch = 2.5;
@@ -72,7 +72,7 @@
   c.late_worth = 0.5;
   settings_.classes = {c};
   c.name = "keyed";
-  c.effect = stagehinge::Effect::Keyed;
+  c.effect = scheduling::Effect::Keyed;
   c.late_worth = 0.3;
   if (options.keyed > 0)
     settings_.classes.push_back(c);
@@ -82,7 +82,7 @@
   settings_.connect_timeout = Duration(kConnect);
   settings_.cancelling = true;
   settings_.must_subscribe = true;
-  settings_.reports = stagehinge::ReportMode::Inline;
+  settings_.reports = scheduling::ReportMode::Inline;
   settings_.tells_start = true;
   settings_.answer_slack = Duration(8);
   settings_.must_ask_in = Duration(10000);
@@ -195,7 +195,7 @@
   ++n.life;
   n.watching = false;
   n.revision = 1;
-  stagehinge::Settings s = settings_;
+  scheduling::Settings s = settings_;
   s.index = options_.thinks_alone ? 0 : node;
   s.seed = options_.seed * 1000003 + n.life * 7919 + std::uint64_t(node);
   std::vector<Action> actions;
@@ -237,7 +237,7 @@
       return;  // its clients find another one, which this world leaves out
     ++counts_.orders;
     double work = kWork * std::min(8.0, std::lognormal_distribution<double>(-0.32, 0.8)(random_));
-    stagehinge::Request r;
+    scheduling::Request r;
     r.id = ++next_id_, r.patience = Duration(5000);
     if (options_.keyed > 0)
       r.job_class = std::bernoulli_distribution(options_.keyed)(random_);
@@ -287,7 +287,7 @@
   }
 }
 
-void FleetWorld::answer(int node, stagehinge::RequestId id, long& count) {
+void FleetWorld::answer(int node, scheduling::RequestId id, long& count) {
   auto& jobs = nodes_[static_cast<std::size_t>(node)].jobs;
   auto it = jobs.find(id);
   if (it == jobs.end() || std::exchange(it->second.answered, true))
@@ -298,7 +298,7 @@
 }
 
 // The client's time is over: what is out has timed out.
-void FleetWorld::time_up(int node, std::uint64_t life, stagehinge::RequestId id) {
+void FleetWorld::time_up(int node, std::uint64_t life, scheduling::RequestId id) {
   Node& n = nodes_[static_cast<std::size_t>(node)];
   auto it = n.jobs.find(id);
   if (n.life != life || it == n.jobs.end())
@@ -317,7 +317,7 @@
   close(node, id);
 }
 
-void FleetWorld::close(int node, stagehinge::RequestId id) {
+void FleetWorld::close(int node, scheduling::RequestId id) {
   auto& jobs = nodes_[static_cast<std::size_t>(node)].jobs;
   auto it = jobs.find(id);
   if (it != jobs.end() && it->second.answered &&
@@ -445,7 +445,7 @@
     in(kWay, [this, run, worker] {
       if (lives(run) && settings_.tells_start) {
         feed(run.dispatcher, [&](auto& d, auto& out) {
-          d.on_note(now_, run.id, run.attempt, workers_[worker].id, stagehinge::NoteKind::Started,
+          d.on_note(now_, run.id, run.attempt, workers_[worker].id, scheduling::NoteKind::Started,
                     out);
         });
       }
@@ -581,13 +581,13 @@
   Node& n = nodes_[static_cast<std::size_t>(node)];
   if (!n.module)
     return;
-  std::vector<stagehinge::WorkerEntry> entries;
+  std::vector<scheduling::WorkerEntry> entries;
   auto add = [&](std::size_t i, bool now) {
     const Worker& w = workers_[i];
-    stagehinge::WorkerEntry e;
+    scheduling::WorkerEntry e;
     e.worker = w.id;
     e.size = options_.slots;
-    e.readiness = now && !w.listed ? stagehinge::Readiness::Gone : stagehinge::Readiness::Ready;
+    e.readiness = now && !w.listed ? scheduling::Readiness::Gone : scheduling::Readiness::Ready;
     if (now && w.started)
       e.online_since = w.started;
     entries.push_back(e);
@@ -674,4 +674,4 @@
   in(kLook, [this] { look_who_knows(); });
 }
 
-}  // namespace oatledge::lab
+}  // namespace dispatcher::testbed
--- a/lab/fleet_world.h
+++ b/testbed/simulation/fleet_simulation.h
@@ -8,7 +8,7 @@
 // can be lost. The same seed gives the same counts.
 #pragma once
 
-#include <stagehinge/dispatcher.h>
+#include "dispatcher/scheduling/scheduler.h"
 
 #include <cstdint>
 #include <deque>
@@ -21,12 +21,12 @@
 #include <string>
 #include <vector>
 
-#include "../src/fleet/loads.h"
+#include "fleet/load_gossip.h"
 
-namespace oatledge::lab {
+namespace dispatcher::testbed {
 
-using stagehinge::Duration;
-using stagehinge::Time;
+using scheduling::Duration;
+using scheduling::Time;
 
 struct FleetCounts {
   long orders = 0;
@@ -111,7 +111,7 @@
   struct Run {
     int dispatcher = 0;
     std::uint64_t life = 0;  // of that dispatcher
-    stagehinge::RequestId id = 0;
+    scheduling::RequestId id = 0;
     int attempt = 0;
     double work = 0;
     std::uint64_t number = 0;
@@ -148,14 +148,14 @@
     bool answered = false;
   };
   struct Node {
-    std::optional<stagehinge::Dispatcher> module;
+    std::optional<scheduling::Dispatcher> module;
     std::optional<fleet::Loads> loads;
     std::uint64_t life = 0;
     bool watching = false;
     bool tells_late = false;  // of counts that fell
     bool apart = false;
     int revision = 0;  // of the list that it holds
-    std::map<stagehinge::RequestId, Job> jobs;
+    std::map<scheduling::RequestId, Job> jobs;
     std::map<std::size_t, int> there;  // open attempts by worker
   };
   struct Event {
@@ -168,24 +168,24 @@
   void in(double ms, std::function<void()> call);
   void start(int node, bool first);
   void arrive(int node);
-  void act(int node, std::vector<stagehinge::Action>& actions);
-  void send(int node, const stagehinge::Action& action);
-  void cancel(int node, const stagehinge::Action& action);
-  void time_up(int node, std::uint64_t life, stagehinge::RequestId id);
-  void close(int node, stagehinge::RequestId id);
-  void answer(int node, stagehinge::RequestId id, long& count);
-  void end(Run run, stagehinge::Outcome outcome, std::optional<std::size_t> worker);
+  void act(int node, std::vector<scheduling::Action>& actions);
+  void send(int node, const scheduling::Action& action);
+  void cancel(int node, const scheduling::Action& action);
+  void time_up(int node, std::uint64_t life, scheduling::RequestId id);
+  void close(int node, scheduling::RequestId id);
+  void answer(int node, scheduling::RequestId id, long& count);
+  void end(Run run, scheduling::Outcome outcome, std::optional<std::size_t> worker);
   void reach(std::size_t worker, Run run);
   void begin_next(std::size_t worker);
   void probe(int node, std::size_t worker);
   void call_discovery(int node);
-  void tell_list(int node, stagehinge::ListKind kind, int after);
+  void tell_list(int node, scheduling::ListKind kind, int after);
   void changed(std::size_t worker);
   void tell(int node);
   void count_there(int node, std::size_t worker, int more);
   void look_who_knows();
   double warmth(const Worker& w) const;
-  stagehinge::LoadReport report(const Worker& w) const;
+  scheduling::LoadReport report(const Worker& w) const;
   std::size_t index_of(std::string_view worker) const;
   template <class Feed>
   void feed(int node, Feed feed);
@@ -194,7 +194,7 @@
   }
 
   Options options_;
-  stagehinge::Settings settings_;
+  scheduling::Settings settings_;
   std::mt19937_64 random_;
   Time now_{};
   std::uint64_t order_ = 0;
@@ -207,8 +207,8 @@
   int revision_ = 1;
   double load_ = 1;
   Time discovery_free_{};
-  stagehinge::RequestId next_id_ = 0;
+  scheduling::RequestId next_id_ = 0;
   FleetCounts counts_;
 };
 
-}  // namespace oatledge::lab
+}  // namespace dispatcher::testbed
--- a/lab/view_world.h
+++ b/testbed/simulation/membership_simulation.h
@@ -13,9 +13,9 @@
 #include <tuple>
 #include <vector>
 
-#include "../src/fleet/view.h"
+#include "fleet/membership_view.h"
 
-namespace oatledge::lab {
+namespace dispatcher::testbed {
 
 using fleet::Duration;
 using fleet::Endpoint;
@@ -163,4 +163,4 @@
   return 1000 * (6 + 4 * std::log2(n + 1));
 }
 
-}  // namespace oatledge::lab
+}  // namespace dispatcher::testbed
--- a/lab/address.h
+++ b/testbed/stubs/address.h
@@ -6,7 +6,7 @@
 
 #include <string>
 
-namespace oatledge::lab {
+namespace dispatcher::testbed {
 
 inline sockaddr_in parse_address(const std::string& address) {
   sockaddr_in out{};
@@ -17,4 +17,4 @@
   return out;
 }
 
-}  // namespace oatledge::lab
+}  // namespace dispatcher::testbed
--- a/lab/starved.h
+++ b/testbed/stubs/cpu_starvation.h
@@ -6,7 +6,7 @@
 #include <istream>
 #include <string>
 
-namespace oatledge::lab {
+namespace dispatcher::testbed {
 
 // Of /proc/stat: ticks of all cores, and those of them that the machine below had for others.
 struct CoreTicks {
@@ -49,4 +49,4 @@
                                                                : Judgement::Broken;
 }
 
-}  // namespace oatledge::lab
+}  // namespace dispatcher::testbed
--- a/lab/standins.cpp
+++ b/testbed/stubs/stubs.cpp
@@ -1,6 +1,6 @@
-#include "standins.h"
+#include "testbed/stubs/stubs.h"
 
-#include "address.h"
+#include "testbed/stubs/address.h"
 
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -27,7 +27,7 @@
 #include <stdexcept>
 #include <utility>
 
-namespace oatledge::lab {
+namespace dispatcher::testbed {
 namespace {
 
 using Clock = std::chrono::steady_clock;
@@ -768,7 +768,7 @@
 }  // namespace
 
 Dispatcher::Dispatcher(const Setup& s, Fleet& fleet) : setup_(s) {
-  char pattern[] = "/tmp/oatledge-lab-XXXXXX";
+  char pattern[] = "/tmp/dispatcher-testbed-XXXXXX";
   folder_ = mkdtemp(pattern);
   std::filesystem::create_directory(folder_ + "/tmp");
   address_ = free_address();
@@ -930,4 +930,4 @@
   return read_schedstat(pid_).second;
 }
 
-}  // namespace oatledge::lab
+}  // namespace dispatcher::testbed
--- a/lab/standins.h
+++ b/testbed/stubs/stubs.h
@@ -17,7 +17,7 @@
 #include <thread>
 #include <vector>
 
-namespace oatledge::lab {
+namespace dispatcher::testbed {
 
 class Sha256 {
  public:
@@ -236,4 +236,4 @@
 void run_on(int first, int last);  // this thread, on these cores, where there are so many
 std::string own_host();  // of the loopback, which other processes of this kind do not share
 
-}  // namespace oatledge::lab
+}  // namespace dispatcher::testbed
