--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -1,5 +1,5 @@
 // What a fleet of a hundred dispatchers costs and how soon it learns: a table of counts over the
-// scenes of testbed/fleet_scenes.h, with news between dispatchers and without, and with a bad
+// scenes of testbed/fleet_scenarios.h, with news between dispatchers and without, and with a bad
 // variant.
 //
 //     dispatcher_bench_fleet [SEED]
@@ -18,9 +18,9 @@
       "scene", "", "orders", "served", "late", "refus", "fail", "att/o", "copy", "prb/o", "calls",
       "failed", "lines", "peak", "messag", "bytes", "falln", "cold", "used s", "after", "p50 ms",
       "p95 ms");
-  for (const FleetScene& scene : fleet_scenes()) {
+  for (const FleetScenario& scene : fleet_scenarios()) {
     for (const char* variant : {"on", "off", "alone"}) {
-      FleetWorld::Options o;
+      FleetSimulation::Options o;
       o.seed = seed;
       o.news = std::string(variant) != "off";
       o.thinks_alone = std::string(variant) == "alone";
--- a/bench/jam.cpp
+++ b/bench/jam.cpp
@@ -11,9 +11,9 @@
 
 int main(int argc, char** argv) {
   int seeds = argc > 1 ? std::stoi(argv[1]) : 1;
-  for (const JamScene& scene : jam_scenes()) {
+  for (const JamScenario& scene : jam_scenarios()) {
     for (int seed = 1; seed <= seeds; ++seed) {
-      FleetWorld::Where then;
+      FleetSimulation::Where then;
       FleetCounts c = play(scene, static_cast<std::uint64_t>(seed), 300, &then);
       double all = double(c.orders);
       std::printf(
--- a/bench/operations.cpp
+++ b/bench/operations.cpp
@@ -1,5 +1,5 @@
 // What the operators' address costs: CPU for an order while its figures are fetched, and what
-// silent callers there do to orders and to other callers. Figures are ratios of alternating rounds
+// silent callers there do to orders and to other callers. Metrics are ratios of alternating rounds
 // in one run; a table goes to standard output.
 //
 //     dispatcher_bench_operations PROGRAM CONFIG [ROUNDS]
--- a/bench/streaming.cpp
+++ b/bench/streaming.cpp
@@ -1,5 +1,5 @@
 // What bodies that pass through cost: memory, throughput, what small orders beside them notice, and
-// CPU for a small order. Figures are ratios of alternating rounds in one run; a table goes to
+// CPU for a small order. Metrics are ratios of alternating rounds in one run; a table goes to
 // standard output.
 //
 //     dispatcher_bench_streaming PROGRAM CONFIG [--part memory|throughput|beside|cpu]... [--old
@@ -30,7 +30,7 @@
   return ++id;
 }
 
-// The dispatcher has one core, as in service; the stand-ins have the others.
+// The dispatcher has one core, as in service; the stubs have the others.
 void pin(int pid, bool dispatcher) {
   cpu_set_t cores;
   CPU_ZERO(&cores);
@@ -50,7 +50,7 @@
       : fleet(own_host(), workers),
         dispatcher({program, config, features, own_host(), 4096}, fleet) {
     pin(dispatcher.pid(), true);
-    for (int i = 0; i < 8 * workers; ++i) {  // the module learns what its workers can do
+    for (int i = 0; i < 8 * workers; ++i) {  // the scheduler learns what its workers can do
       Order o;
       o.id = next_id();
       if (features.empty())
--- a/bench/view.cpp
+++ b/bench/view.cpp
@@ -25,8 +25,8 @@
   constexpr int kMembers = 100;
   for (bool health : {true, false}) {
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-      ViewWorld w(0, seed);
-      w.options = [health](View::Options& o) {
+      MembershipSimulation w(0, seed);
+      w.options = [health](MembershipView::Options& o) {
         o.local_health = health;
       };
       w.begin(kMembers);
@@ -73,7 +73,7 @@
     std::vector<double> cpu;
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       constexpr double kLongest = 300'000;
-      ViewWorld w(n, seed);
+      MembershipSimulation w(n, seed);
       start.push_back(w.until_agreed(kLongest) / 1000);
       w.pass(60'000);
       long sent = w.sent;
--- a/include/dispatcher/scheduling/scheduler.h
+++ b/include/dispatcher/scheduling/scheduler.h
@@ -1,4 +1,4 @@
-// The interface of the scheduling library: settings, events, actions and the class Dispatcher.
+// The interface of the scheduling library: settings, events, actions and the class Scheduler.
 // Sans-I/O: the caller feeds events and carries out the actions that come back at once. The time
 // given with an event is the one at which it is fed, also after a stall, when the event itself is
 // older.
@@ -18,68 +18,79 @@
 using Time = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 using RequestId = std::uint64_t;
 
-enum class Effect { Safe, Keyed, Unsafe };
-enum class Group { All, Zone, Cell };
-enum class Readiness { Ready, Terminating, Gone };
-enum class ListKind { Partial, Complete, Persisted, Error };
-enum class NoteKind { Started, Progress };
-enum class Outcome { Success, Failure, Overloaded, TimedOut, Unreachable, Broken, Withdrawn, Void };
-enum class ReportMode { Off, Inline, OnProbe };
+enum class Idempotency { Idempotent, KeyedIdempotent, NonIdempotent };
+enum class DeduplicationScope { All, Zone, Cell };
+enum class Readiness { Ready, Draining, Removed };
+enum class EndpointUpdateKind { Delta, Snapshot, Cached, Failed };
+enum class JobEventKind { Started, Progress };
+enum class Outcome {
+  Success,
+  Failure,
+  Rejected,
+  TimedOut,
+  ConnectFailed,
+  ConnectionReset,
+  Cancelled,
+  NotSent
+};
+enum class LoadReportMode { Off, Inline, OnProbe };
 
 struct ClassSettings {
   std::string name;
-  Effect effect = Effect::Unsafe;
-  Group group = Group::Cell;  // keyed: the workers that drop a repeat
-  Duration memory_span{0};    // keyed: how long they remember
-  Duration aim{0};            // wanted within this...
-  double stretch = 0;         // ...plus this multiple of the job's own work
-  Duration deadline{0};       // the client's whole patience
-  double worth = 1;
-  double late_worth = 0;  // fraction of the worth after the aim
-  int kind = -1;          // the one machine kind that runs it; -1: any
+  Idempotency idempotency = Idempotency::NonIdempotent;
+  DeduplicationScope deduplication_scope =
+      DeduplicationScope::Cell;      // keyed: the workers that drop a repeat
+  Duration deduplication_window{0};  // keyed: how long they remember
+  Duration latency_objective{0};     // wanted within this...
+  double objective_work_factor = 0;  // ...plus this multiple of the job's own work
+  Duration deadline{0};              // the client's whole patience
+  double priority_weight = 1;
+  double late_weight = 0;  // fraction of the worth after the aim
+  int kind = -1;           // the one machine kind that runs it; -1: any
 };
 
 struct Settings {
   std::uint64_t seed = 0;
   int zone = 0;
-  int balancers = 1;  // dispatchers that send to the same workers...
-  int index = 0;      // ...and which of them this one is
+  int dispatchers = 1;  // dispatchers that send to the same workers...
+  int index = 0;        // ...and which of them this one is
   std::vector<ClassSettings> classes;
   Duration tick{1};
   // permissions
   int max_attempts = 1;
-  bool parallel_tries = false;
+  bool hedging_allowed = false;
   std::optional<Duration>
       connect_timeout;  // absent or absurd: keyed jobs that may have run are not repeated
-  bool cancelling = false;
-  bool may_probe = false;
+  bool cancellation_allowed = false;
+  bool health_checks_allowed = false;
   Duration max_retry_after{0};  // 0: clients take no advice on when to return
   // what can be known
-  bool must_subscribe = false;  // list changes come only after Subscribe
-  ReportMode reports = ReportMode::Off;
-  bool tells_start = false;
-  Duration progress_every{0};  // 0: no progress notes
+  bool watch_required = false;  // list changes come only after Subscribe
+  LoadReportMode reports = LoadReportMode::Off;
+  bool reports_job_start = false;
+  Duration progress_interval{0};  // 0: no progress notes
   // the rules' figures
   Duration answer_slack{0};
-  Duration must_ask_in{0};
+  Duration poll_deadline{0};
   Duration drain_grace{0};
-  double cold_from = 0.1;    // a started worker has at least this fraction of its capacity...
-  Duration ramp_time{0};     // ...and all of it after this
-  double tip_multiple = 1;   // a cold worker sent this multiple of its capacity...
-  Duration fall_span{1000};  // ...for this long falls over
+  double slow_start_initial_fraction =
+      0.1;  // a started worker has at least this fraction of its capacity...
+  Duration slow_start_duration{0};  // ...and all of it after this
+  double overload_multiple = 1;     // a cold worker sent this multiple of its capacity...
+  Duration overload_window{1000};   // ...for this long falls over
   // The retry budget: within any window, attempts beyond a request's first number at most the free
   // ones plus this share of the requests taken. Given all three or not at all; not at all:
   // unlimited.
-  std::optional<double> budget_free;
-  std::optional<double> extra_per_request;
-  std::optional<Duration> extra_window;
+  std::optional<double> retry_budget_free;
+  std::optional<double> retry_budget_ratio;
+  std::optional<Duration> retry_budget_window;
   // prices, each as a fraction of the day's worth for one unit a request
-  double price_cross_zone = 0;
+  double cross_zone_price = 0;
   // Requests a second of each tenant, at all dispatchers together, that are worth all; one beyond
   // its tenant's share is worth this part. Empty: there are no tenants.
   std::vector<double> tenant_quotas;
-  double over_share_worth = 1;
-  bool worth_by_work = false;
+  double over_quota_weight = 1;
+  bool weight_by_work = false;
 };
 
 void validate(
@@ -107,8 +118,8 @@
 struct Request {
   RequestId id = 0;
   std::size_t job_class = 0;
-  Duration patience{0};          // time left before the client gives up
-  std::optional<Duration> hint;  // expected work at standard speed
+  Duration timeout{0};                // time left before the client gives up
+  std::optional<Duration> cost_hint;  // expected work at standard speed
   double slots = 1;
   double memory = 0;
   std::size_t tenant = 0;
@@ -123,11 +134,11 @@
   int attempt = 0;
   bool final = false;  // the request is finished
   std::string_view worker;
-  Outcome outcome = Outcome::Void;
+  Outcome outcome = Outcome::NotSent;
   LoadReport report;
 };
 
-enum class ActionKind { Send, Reject, Fail, Cancel, Probe, Subscribe, SetTimer, Log };
+enum class ActionKind { Send, Reject, Fail, Cancel, HealthCheck, Watch, SetTimer, Log };
 
 struct Action {
   ActionKind kind = ActionKind::Log;
@@ -143,30 +154,30 @@
 
 // One scheduler's decisions. Throws std::invalid_argument on settings that make no sense, and never
 // else.
-class Dispatcher {
+class Scheduler {
  public:
-  Dispatcher(const Settings& settings, Time now, std::vector<Action>& out);
-  ~Dispatcher();
-  Dispatcher(Dispatcher&&) noexcept;
-  Dispatcher& operator=(Dispatcher&&) noexcept;
+  Scheduler(const Settings& settings, Time now, std::vector<Action>& out);
+  ~Scheduler();
+  Scheduler(Scheduler&&) noexcept;
+  Scheduler& operator=(Scheduler&&) noexcept;
 
   // Each event appends what is to be done to `out`.
-  void on_list(Time now, ListKind kind, const std::vector<WorkerEntry>& entries,
-               std::vector<Action>& out);
+  void on_endpoint_update(Time now, EndpointUpdateKind kind,
+                          const std::vector<WorkerEntry>& entries, std::vector<Action>& out);
   // Settings that hold for the requests to come; throws as the constructor does, and nothing has
   // changed then. The numbers of classes and tenants mean the same ones for good: new ones come
   // behind, none is used anew.
   void on_settings(const Settings& settings);
   void on_request(Time now, const Request& request, std::vector<Action>& out);
-  void on_note(Time now, RequestId id, int attempt, std::string_view worker, NoteKind kind,
-               Actions& out);
+  void on_job_event(Time now, RequestId id, int attempt, std::string_view worker, JobEventKind kind,
+                    Actions& out);
   void on_attempt_end(Time now, const AttemptEnd& end, std::vector<Action>& out);
-  void on_probe_result(Time now, std::string_view worker, Outcome outcome, const LoadReport& report,
-                       std::vector<Action>& out);
-  // What the other dispatchers say they have at a worker now, in jobs: hearsay, no more than a
+  void on_health_check_result(Time now, std::string_view worker, Outcome outcome,
+                              const LoadReport& report, std::vector<Action>& out);
+  // What the other dispatchers say they have at a worker now, in jobs: gossip, no more than a
   // guess of its load.
-  void on_peers(Time now, std::string_view worker, double jobs, std::vector<Action>& out);
-  void on_client_gone(Time now, RequestId id, std::vector<Action>& out);
+  void on_load_gossip(Time now, std::string_view worker, double jobs, std::vector<Action>& out);
+  void on_client_disconnected(Time now, RequestId id, std::vector<Action>& out);
   void on_timer(Time now, std::vector<Action>& out);
 
   // For tests and status pages.
@@ -183,9 +194,9 @@
 
 // A decaying log-scale histogram of hinted work, and the cutoff searches over it (Schroeder and
 // Harchol-Balter, 4).
-class HintHistogram {
+class CostHistogram {
  public:
-  HintHistogram();
+  CostHistogram();
   void add(Time now, double work_ms);
   double samples() const { return count_; }
   double work_rate(Time now) const;  // work offered for each ms of recent time
@@ -217,7 +228,7 @@
 // Hints of one class against the work its jobs turned out to be, in logarithms and fading. Rough
 // hints regress to the mean: of the shortest most are too short. The slope says by how much to
 // believe them.
-class HintModel {
+class CostHintModel {
  public:
   double expected(double hint_ms)
       const;              // the sum over jobs stays that of the hints, only their spread shrinks
--- a/src/features/features.cpp
+++ b/src/features/features.cpp
@@ -13,7 +13,7 @@
 
 using google::protobuf::TextFormat;
 
-using settings::Faults;
+using settings::ParseErrorCollector;
 
 struct Range {
   const char* field;
@@ -35,7 +35,7 @@
 
 template <std::size_t N>
 void check_ranges(const google::protobuf::Message& m, const Range (&ranges)[N],
-                  const TextFormat::ParseInfoTree* where, Faults& faults) {
+                  const TextFormat::ParseInfoTree* where, ParseErrorCollector& faults) {
   for (const Range& r : ranges) {
     const auto* field = m.GetDescriptor()->FindFieldByName(r.field);
     bool wide = field->cpp_type() == google::protobuf::FieldDescriptor::CPPTYPE_UINT64;
@@ -50,7 +50,8 @@
   }
 }
 
-void check_streaming(const Streaming& s, const TextFormat::ParseInfoTree* where, Faults& faults) {
+void check_streaming(const Streaming& s, const TextFormat::ParseInfoTree* where,
+                     ParseErrorCollector& faults) {
   check_ranges(s, kStreaming, where, faults);
   if (std::uint64_t{s.window_kb()} << 10 > std::uint64_t{s.memory_ceiling_mb()} << 20) {
     const char* field = s.has_window_kb() ? "window_kb" : "memory_ceiling_mb";
@@ -59,7 +60,8 @@
   }
 }
 
-void check_fleet(const Fleet& f, const TextFormat::ParseInfoTree* where, Faults& faults) {
+void check_fleet(const Fleet& f, const TextFormat::ParseInfoTree* where,
+                 ParseErrorCollector& faults) {
   check_ranges(f, kFleet, where, faults);
   auto address = [&](const char* field, int index, const std::string& text) {
     if (fleet::parse_endpoint(text))
@@ -82,7 +84,7 @@
 }  // namespace
 
 Features read_features(const std::string& text, const std::string& name) {
-  Faults faults(name);
+  ParseErrorCollector faults(name);
   TextFormat::ParseInfoTree where;
   TextFormat::Parser parser;
   parser.RecordErrorsTo(&faults);
--- a/src/fleet/fleet_socket.cpp
+++ b/src/fleet/fleet_socket.cpp
@@ -9,8 +9,9 @@
 
 }  // namespace
 
-UdpPeers::UdpPeers(GMainContext* context, Options options, transport::Deadlines& deadlines,
-                   const transport::Clock& clock, operations::Log& log, transport::Descriptor bound)
+FleetSocket::FleetSocket(GMainContext* context, Options options, transport::Deadlines& deadlines,
+                         const transport::Clock& clock, operations::Log& log,
+                         transport::Descriptor bound)
     : options_(std::move(options)),
       deadlines_(deadlines),
       clock_(clock),
@@ -33,7 +34,7 @@
     begin_view();
 }
 
-Endpoint UdpPeers::own() const {
+Endpoint FleetSocket::own() const {
   auto self = parse_endpoint(options_.advertise);
   if (self)
     return *self;
@@ -42,8 +43,8 @@
   return peers_[static_cast<std::size_t>(options_.self)];
 }
 
-void UdpPeers::begin_view() {
-  View::Options view;
+void FleetSocket::begin_view() {
+  MembershipView::Options view;
   view.self = own();
   view.incarnation = options_.incarnation;
   view.known = options_.known;
@@ -56,7 +57,7 @@
   if (options_.seeds.empty())
     view.others = peers_;
   if (seal_)
-    view.longest -= Seal::kOverhead;
+    view.longest -= MessageAuthenticator::kOverhead;
   view.riding = [this](const Endpoint& to, std::size_t room) {
     auto peer = senders_.find(to);
     return peer == senders_.end()
@@ -76,7 +77,8 @@
   tick();
 }
 
-void UdpPeers::changed(const Endpoint& member, State state, std::uint32_t incarnation, bool other) {
+void FleetSocket::changed(const Endpoint& member, State state, std::uint32_t incarnation,
+                          bool other) {
   changes_ += other;
   if (other) {
     log_.line("fleet", to_text(member) + " is " + to_text(state) + ", incarnation " +
@@ -91,32 +93,32 @@
   }
 }
 
-void UdpPeers::send(const Endpoint& to, const std::string& bytes) {
+void FleetSocket::send(const Endpoint& to, const std::string& bytes) {
   socket_.send(to_text(to), seal_ ? seal_->close(wall(), to, bytes) : bytes);
 }
 
-Seal::Wall UdpPeers::wall() const {
+MessageAuthenticator::Wall FleetSocket::wall() const {
   auto ms = (clock_.now().time_since_epoch() + options_.to_wall).count();
-  return ms > 0 ? static_cast<Seal::Wall>(ms) : 0;
+  return ms > 0 ? static_cast<MessageAuthenticator::Wall>(ms) : 0;
 }
 
-void UdpPeers::exchange(std::vector<Key> keys) {
+void FleetSocket::exchange(std::vector<Key> keys) {
   if (seal_)
     seal_->exchange(std::move(keys));
 }
 
-void UdpPeers::tick() {
+void FleetSocket::tick() {
   if (speaks_)
     view_->tick(clock_.now());
   tick_ = deadlines_.add(clock_.now() + options_.period / 20, [this] { tick(); });
 }
 
-void UdpPeers::leave() {
+void FleetSocket::leave() {
   if (view_ && speaks_)
     view_->leave(clock_.now());  // not where another process of this member serves on
 }
 
-std::string UdpPeers::view_json() const {
+std::string FleetSocket::view_json() const {
   if (!view_)
     return {};
   auto digest = [](std::uint64_t d) {
@@ -150,7 +152,7 @@
   return all.toStyledString();
 }
 
-std::optional<operations::Gauges::Fleet> UdpPeers::figures() const {
+std::optional<operations::Gauges::Fleet> FleetSocket::metrics() const {
   if (!view_)
     return std::nullopt;
   operations::Gauges::Fleet f;
@@ -165,32 +167,32 @@
   return f;
 }
 
-transport::Datagrams::Received UdpPeers::hears() {
+transport::Datagrams::Received FleetSocket::hears() {
   return [this](const std::string& from, std::string_view bytes) {
     received(from, bytes);
   };
 }
 
-void UdpPeers::speak(bool on) {
+void FleetSocket::speak(bool on) {
   speaks_ = on;
   socket_.listen(on);
 }
 
-void UdpPeers::list(const std::vector<std::string>& instances) {
-  loads_.list(instances, [this](const std::string& instance, int jobs) { heard(instance, jobs); });
+void FleetSocket::list(const std::vector<std::string>& workers) {
+  loads_.list(workers, [this](const std::string& worker, int jobs) { heard(worker, jobs); });
 }
 
-void UdpPeers::have(const std::string& instance, int jobs) {
-  loads_.have(clock_.now(), instance, jobs);
+void FleetSocket::have(const std::string& worker, int jobs) {
+  loads_.have(clock_.now(), worker, jobs);
   tell();
 }
 
-void UdpPeers::tell() {
+void FleetSocket::tell() {
   if (!speaks_)
     return;  // what waits is told from when this process speaks
-  std::size_t room =
-      seal_ ? kLongest - Seal::kOverhead : kLongest;  // a datagram has 256 bytes with its seal
-  for (const Loads::Message& m : loads_.due(clock_.now(), room)) {
+  std::size_t room = seal_ ? kLongest - MessageAuthenticator::kOverhead
+                           : kLongest;  // a datagram has 256 bytes with its seal
+  for (const LoadGossip::Message& m : loads_.due(clock_.now(), room)) {
     auto to = static_cast<std::size_t>(m.to);
     if (seal_) {
       send(peers_[to], m.bytes);
@@ -203,14 +205,14 @@
   late_ = deadlines_.add(clock_.now() + kLeft, [this] { late_ = {}, tell(); });
 }
 
-bool UdpPeers::take_loads(const Endpoint& from, std::string_view bytes) {
+bool FleetSocket::take_loads(const Endpoint& from, std::string_view bytes) {
   auto sender = senders_.find(from);
   return sender != senders_.end() &&
          loads_.take(clock_.now(), sender->second, bytes,
-                     [this](const std::string& instance, int jobs) { heard(instance, jobs); });
+                     [this](const std::string& worker, int jobs) { heard(worker, jobs); });
 }
 
-void UdpPeers::received(const std::string& from, std::string_view bytes) {
+void FleetSocket::received(const std::string& from, std::string_view bytes) {
   auto drop = [&](const std::string& why) {
     log_.line("peers", "message " + std::to_string(++dropped_[why]) + " dropped (" + why +
                            "), of " + std::to_string(bytes.size()) + " bytes from " + from);
@@ -220,8 +222,9 @@
     return drop("no address");
   std::string_view plain = bytes;
   if (seal_) {
-    if (auto fault = seal_->open(wall(), *who, bytes, plain); fault != Seal::Fault::None)
-      return drop(Seal::to_text(fault));
+    if (auto fault = seal_->open(wall(), *who, bytes, plain);
+        fault != MessageAuthenticator::Fault::None)
+      return drop(MessageAuthenticator::to_text(fault));
   }
   // Without keys anybody may join the view, whose messages bear another first byte than those of
   // loads.
@@ -233,9 +236,8 @@
                                  : "unknown sender");
 }
 
-void UdpPeers::sweep() {
-  loads_.expire(clock_.now(),
-                [this](const std::string& instance, int jobs) { heard(instance, jobs); });
+void FleetSocket::sweep() {
+  loads_.expire(clock_.now(), [this](const std::string& worker, int jobs) { heard(worker, jobs); });
   // One that has stayed for long enough is no longer damped.
   for (const auto& [who, number] : senders_) {
     if (view_ && loads_.away(static_cast<int>(number)) && !view_->damped(clock_.now(), who)) {
@@ -248,9 +250,9 @@
   sweep_ = deadlines_.add(clock_.now() + kSweep, [this] { sweep(); });
 }
 
-void UdpPeers::heard(const std::string& instance, int jobs) {
+void FleetSocket::heard(const std::string& worker, int jobs) {
   if (router_)
-    router_->peers_have(instance, jobs);
+    router_->on_load_gossip(worker, jobs);
 }
 
 }  // namespace dispatcher::fleet
--- a/src/fleet/fleet_socket.h
+++ b/src/fleet/fleet_socket.h
@@ -1,4 +1,4 @@
-// The other dispatchers over UDP: when the number of our attempts at an instance changes, those
+// The other dispatchers over UDP: when the number of our attempts at a worker changes, those
 // near to it are told.
 #pragma once
 
@@ -14,7 +14,7 @@
 
 namespace dispatcher::fleet {
 
-class UdpPeers final : public routing::PeerSide {
+class FleetSocket final : public routing::GossipPort {
  public:
   struct Options {
     std::string listen;
@@ -22,7 +22,7 @@
     int self = 0;                    // our own number
     bool view = false;               // of the fleet, kept and told; the rest of it counts only then
     std::uint32_t incarnation = 1;
-    std::vector<View::Entry> known;  // from the process that had the socket
+    std::vector<MembershipView::Entry> known;  // from the process that had the socket
     Duration period{1000};
     Duration answer_in{300};
     Duration forget{3'600'000};
@@ -33,24 +33,27 @@
   };
   // Throws std::runtime_error where the address cannot be had. `bound`: the socket, where another
   // process of this dispatcher had it.
-  UdpPeers(GMainContext* context, Options options, transport::Deadlines& deadlines,
-           const transport::Clock& clock, operations::Log& log, transport::Descriptor bound = {});
-  ~UdpPeers() override { deadlines_.drop(sweep_), deadlines_.drop(tick_), deadlines_.drop(late_); }
+  FleetSocket(GMainContext* context, Options options, transport::Deadlines& deadlines,
+              const transport::Clock& clock, operations::Log& log,
+              transport::Descriptor bound = {});
+  ~FleetSocket() override {
+    deadlines_.drop(sweep_), deadlines_.drop(tick_), deadlines_.drop(late_);
+  }
 
   void attach(routing::Router& router) { router_ = &router; }
   void list(const std::vector<std::string>&
-                instances);  // on the own list; after the module has heard of them
-  void have(const std::string& instance, int jobs) override;
+                workers);  // on the own list; after the scheduler has heard of them
+  void have(const std::string& worker, int jobs) override;
   // While another process of this dispatcher speaks for it, this one says and hears nothing.
   void speak(bool on);
   void exchange(std::vector<Key> keys);  // from now on, where there were some
   void leave();                          // says goodbye to the fleet's view
-  const View* view() const { return view_ ? &*view_ : nullptr; }
+  const MembershipView* view() const { return view_ ? &*view_ : nullptr; }
   // {"self", "incarnation", "digest", "members": [{"member", "state", "incarnation", "for_ms",
   // "round_trip_ms", "damped"}], "sent", "dropped" (by reason), "doubt_in_self", "sealed"}; empty
   // where no view is kept.
   std::string view_json() const;
-  std::optional<operations::Gauges::Fleet> figures() const;  // nothing where no view is kept
+  std::optional<operations::Gauges::Fleet> metrics() const;  // nothing where no view is kept
   transport::Descriptor descriptor() const { return socket_.descriptor(); }
 
  private:
@@ -59,24 +62,24 @@
   void sweep();
   void tick();
   void tell();
-  void heard(const std::string& instance, int jobs);
+  void heard(const std::string& worker, int jobs);
   Endpoint own() const;
   void begin_view();
   void changed(const Endpoint& member, State state, std::uint32_t incarnation, bool other);
   void send(const Endpoint& to, const std::string& bytes);
   bool take_loads(const Endpoint& from, std::string_view bytes);
-  Seal::Wall wall() const;
+  MessageAuthenticator::Wall wall() const;
 
   Options options_;
   transport::Deadlines& deadlines_;
   const transport::Clock& clock_;
   operations::Log& log_;
   routing::Router* router_ = nullptr;
-  Loads loads_;
-  std::optional<View> view_;
+  LoadGossip loads_;
+  std::optional<MembershipView> view_;
   std::vector<Endpoint> peers_;              // by number; a name that is no address: zeros
   std::map<Endpoint, std::size_t> senders_;  // the others' numbers
-  std::optional<Seal> seal_;
+  std::optional<MessageAuthenticator> seal_;
   std::map<std::string, std::uint64_t> dropped_;  // by reason
   std::uint64_t changes_ = 0;                     // of a state, as told by the view
   bool speaks_ = true;
--- a/src/fleet/key_file.cpp
+++ b/src/fleet/key_file.cpp
@@ -44,7 +44,7 @@
 std::vector<Key> read_keys_file(const std::string& path) {
   using google::protobuf::TextFormat;
   std::string text = read_private(path);
-  settings::Faults faults(path);
+  settings::ParseErrorCollector faults(path);
   TextFormat::ParseInfoTree where;
   TextFormat::Parser parser;
   parser.RecordErrorsTo(&faults);
--- a/src/fleet/load_gossip.cpp
+++ b/src/fleet/load_gossip.cpp
@@ -34,18 +34,18 @@
 
 // The same at every dispatcher. Of two workers with one short name only the first has news, in
 // which what is at the second is mixed: a wrong guess of its load, no more.
-std::uint16_t Loads::short_name(std::string_view worker) {
+std::uint16_t LoadGossip::short_name(std::string_view worker) {
   return static_cast<std::uint16_t>(XXH3_64bits(worker.data(), worker.size()));
 }
 
-int Loads::Worker::sum() const {
+int LoadGossip::Worker::sum() const {
   int all = 0;
   for (const auto& [sender, claim] : claims)
     all += claim.jobs;
   return std::min(all, kMostThere);
 }
 
-void Loads::list(const std::vector<std::string>& workers, const Changed& changed) {
+void LoadGossip::list(const std::vector<std::string>& workers, const Changed& changed) {
   std::set<std::uint16_t> named;
   for (const std::string& worker : workers) {
     named.insert(short_name(worker));
@@ -75,17 +75,17 @@
   }
 }
 
-bool Loads::untold(const Worker& w) const {
+bool LoadGossip::untold(const Worker& w) const {
   return std::ranges::any_of(
       w.told, [&](const auto& t) { return t.second != w.jobs && !away_.contains(t.first); });
 }
 
-std::string Loads::entry(std::uint16_t name, const Worker& w) {
+std::string LoadGossip::entry(std::uint16_t name, const Worker& w) {
   return {static_cast<char>(kVersion << 4 | static_cast<unsigned>(w.jobs)),
           static_cast<char>(name >> 8), static_cast<char>(name & 0xff)};
 }
 
-std::vector<int> Loads::listeners(const std::string& worker) const {
+std::vector<int> LoadGossip::listeners(const std::string& worker) const {
   std::vector<int> all;
   if (auto it = workers_.find(short_name(worker)); it != workers_.end()) {
     for (const auto& [listener, told] : it->second.told)
@@ -94,7 +94,7 @@
   return all;
 }
 
-void Loads::have(Time now, const std::string& worker, int jobs) {
+void LoadGossip::have(Time now, const std::string& worker, int jobs) {
   auto it = workers_.find(short_name(worker));
   if (it == workers_.end() || it->second.told.empty())
     return;
@@ -110,13 +110,13 @@
   }
 }
 
-bool Loads::somebody_idle() const {
+bool LoadGossip::somebody_idle() const {
   return std::ranges::any_of(near_, [](const auto& w) {
     return w.second->used && w.second->jobs == 0 && w.second->claims.empty();
   });
 }
 
-std::vector<Loads::Message> Loads::due(Time now, std::size_t room) {
+std::vector<LoadGossip::Message> LoadGossip::due(Time now, std::size_t room) {
   if (now - looked_ >= kLeft) {
     looked_ = now;
     for (auto& [name, w] : near_) {  // one may have been lost, and none counts for ever
@@ -153,7 +153,7 @@
   return messages;
 }
 
-std::string Loads::riding(Time now, int listener, std::size_t room) {
+std::string LoadGossip::riding(Time now, int listener, std::size_t room) {
   std::string out;
   for (auto it = waiting_.begin(); it != waiting_.end() && out.size() + kEntry <= room;) {
     Worker& w = workers_.at(*it);
@@ -167,7 +167,7 @@
   return out;
 }
 
-void Loads::hears(int listener, bool there) {
+void LoadGossip::hears(int listener, bool there) {
   if (!there) {
     away_.insert(listener);
     std::erase_if(waiting_, [this](std::uint16_t name) { return !untold(workers_.at(name)); });
@@ -183,7 +183,8 @@
   }
 }
 
-bool Loads::take(Time now, std::size_t sender, std::string_view message, const Changed& changed) {
+bool LoadGossip::take(Time now, std::size_t sender, std::string_view message,
+                      const Changed& changed) {
   if (message.empty() || message.size() > kLongest || message.size() % kEntry != 0)
     return false;
   for (std::size_t i = 0; i < message.size(); i += kEntry) {
@@ -216,7 +217,7 @@
   return true;
 }
 
-void Loads::expire(Time now, const Changed& changed) {
+void LoadGossip::expire(Time now, const Changed& changed) {
   for (auto& [name, w] : workers_) {
     int before = w.sum();
     for (auto it = w.claims.begin(); it != w.claims.end();) {
--- a/src/fleet/load_gossip.h
+++ b/src/fleet/load_gossip.h
@@ -1,11 +1,11 @@
-// What dispatchers tell each other of the jobs they have at order workers, so that each knows what
+// What dispatchers tell each other of the jobs they have at workers, so that each knows what
 // the others put where since the last load report: the message, and the sums of what was heard. No
 // sockets; time comes from the caller.
 //
 // A message is a row of entries of three bytes: the format's version in the upper and the number of
 // jobs (15: that or more) in the lower half of the first, then a short name of the worker. An entry
 // tells what the sender has there now, so that one lost, doubled or late does no lasting harm, and
-// what is not told again within kKept is forgotten. All of it is hearsay: a guess of others' work
+// what is not told again within kKept is forgotten. All of it is gossip: a guess of others' work
 // and nothing else.
 #pragma once
 
@@ -38,15 +38,15 @@
     64;  // jobs that one sender is believed to have, all workers together
 inline constexpr int kMostThere = 255;  // and all senders at one worker
 
-class Loads {
+class LoadGossip {
  public:
   using Changed = std::function<void(const std::string& worker, int jobs)>;  // of all others there
 
   // `self`: our own number among `dispatchers`.
-  Loads(int self, int dispatchers) : self_(self), dispatchers_(dispatchers) {}
+  LoadGossip(int self, int dispatchers) : self_(self), dispatchers_(dispatchers) {}
 
-  Loads(Loads&&) = default;  // not copied: near_ points into workers_
-  Loads& operator=(Loads&&) = default;
+  LoadGossip(LoadGossip&&) = default;  // not copied: near_ points into workers_
+  LoadGossip& operator=(LoadGossip&&) = default;
 
   // All that the own list names: no other is spoken of. Those that are new and near are told as
   // changed, with 0.
--- a/src/fleet/membership_view.cpp
+++ b/src/fleet/membership_view.cpp
@@ -91,7 +91,7 @@
   return "";
 }
 
-View::View(Options options, Time now, Send send, Changed changed)
+MembershipView::MembershipView(Options options, Time now, Send send, Changed changed)
     : options_(std::move(options)),
       send_(std::move(send)),
       changed_(std::move(changed)),
@@ -120,25 +120,25 @@
   ticked_ = now;
 }
 
-std::size_t View::count(State state) const {
+std::size_t MembershipView::count(State state) const {
   return static_cast<std::size_t>(
       std::ranges::count_if(members_, [&](auto& m) { return m.second.state == state; }));
 }
 
-double View::log_size() const {
+double MembershipView::log_size() const {
   return std::log2(static_cast<double>(members_.size()) + 2);
 }
 // Enough to reach nearly all; digests bring the rest.
-int View::times_told() const {
+int MembershipView::times_told() const {
   return static_cast<int>(std::ceil(log_size()));
 }
 // As long as news of the suspicion, and the refutation after it, take to reach all; longer where
 // answers have lately not come to ourselves (Lifeguard).
-Duration View::suspicion() const {
+Duration MembershipView::suspicion() const {
   return options_.period * (log_size() / 2 + 1) * (1 + doubt_ / 8.0);
 }
 
-void View::tick(Time now) {
+void MembershipView::tick(Time now) {
   if (left_)
     return;
   // Guards a member that was stopped and wakes: the silence was its own.
@@ -202,16 +202,16 @@
   period_begins(now);
 }
 
-double View::flaps(Time now, const Member& m) const {
+double MembershipView::flaps(Time now, const Member& m) const {
   return m.flaps * std::exp2(-((now - m.flaps_at) / (options_.period * kFlapHalves)));
 }
 
-bool View::damped(Time now, const Endpoint& who) const {
+bool MembershipView::damped(Time now, const Endpoint& who) const {
   auto m = members_.find(who);
   return m != members_.end() && flaps(now, m->second) > kDamped;
 }
 
-void View::forget(Time now) {
+void MembershipView::forget(Time now) {
   std::erase_if(members_, [&](const auto& entry) {
     const auto& [who, m] = entry;
     bool gone = (m.state == State::Dead || m.state == State::Left) &&
@@ -223,7 +223,7 @@
 }
 
 // Of a table that is full, whoever has been gone longest makes room for one that is there.
-bool View::make_room() {
+bool MembershipView::make_room() {
   if (members_.size() < kMostMembers)
     return true;
   auto oldest = members_.end();
@@ -240,7 +240,7 @@
   return true;
 }
 
-void View::period_ends(Time now) {
+void MembershipView::period_ends(Time now) {
   forget(now);
   std::erase_if(relays_, [&](auto& r) { return now - r.second.sent > options_.period; });
   if (!probe_)
@@ -262,7 +262,7 @@
     s->second.own = true;
 }
 
-void View::period_begins(Time now) {
+void MembershipView::period_begins(Time now) {
   std::optional<Endpoint> to = next_to_probe();
   if (!to)
     return;
@@ -288,7 +288,7 @@
 
 // Everybody once in a round, in an order of this member's own; in between, at a bounded rate, one
 // that is held dead: after a partition each side finds the other again by these.
-std::optional<Endpoint> View::next_to_probe() {
+std::optional<Endpoint> MembershipView::next_to_probe() {
   if (number_ % kDeadTurn == kDeadTurn - 1 || count(State::Alive) + count(State::Suspect) == 0) {
     std::vector<Endpoint> dead;
     for (const auto& [who, m] : members_) {
@@ -314,7 +314,7 @@
   return std::nullopt;
 }
 
-void View::set(Time now, const Endpoint& who, State state, std::uint32_t incarnation) {
+void MembershipView::set(Time now, const Endpoint& who, State state, std::uint32_t incarnation) {
   auto [it, fresh] = members_.try_emplace(who);
   Member& m = it->second;
   if (!fresh)
@@ -342,7 +342,7 @@
 
 // Of two pieces of news on one member the higher incarnation counts; of one incarnation the graver
 // state. So all that have heard the same hold the same, in whatever order it came.
-void View::hear(Time now, const Entry& news) {
+void MembershipView::hear(Time now, const Entry& news) {
   if (news.who == options_.self) {
     if (news.state != State::Alive && news.incarnation >= self_.incarnation) {
       refute(now, news.incarnation);
@@ -366,7 +366,7 @@
   set(now, news.who, news.state, news.incarnation);
 }
 
-void View::refute(Time now, std::uint32_t above) {
+void MembershipView::refute(Time now, std::uint32_t above) {
   digest_ ^= hash(options_.self, State::Alive, self_.incarnation);
   self_.incarnation = above + 1;
   self_.since = now;
@@ -374,7 +374,7 @@
   telling_[options_.self] = 0;
 }
 
-bool View::take(Time now, const Endpoint& from, std::string_view bytes) {
+bool MembershipView::take(Time now, const Endpoint& from, std::string_view bytes) {
   auto bad = [&] {
     return ++dropped_, false;
   };
@@ -451,7 +451,7 @@
 }
 
 // What has been told least comes first, of the receiver itself before all else.
-std::vector<View::Entry> View::news_for(const Endpoint& to) {
+std::vector<MembershipView::Entry> MembershipView::news_for(const Endpoint& to) {
   std::vector<std::pair<int, Endpoint>> order;
   for (const auto& [who, times] : telling_)
     order.emplace_back(who == to ? -1 : times, who);
@@ -467,14 +467,14 @@
   return out;
 }
 
-View::Entry View::entry_of(const Endpoint& who) const {
+MembershipView::Entry MembershipView::entry_of(const Endpoint& who) const {
   if (who == options_.self)
     return {who, left_ ? State::Left : State::Alive, self_.incarnation};
   const Member& m = members_.at(who);
   return {who, m.state, m.incarnation};
 }
 
-std::array<std::uint64_t, kParts> View::parts() const {
+std::array<std::uint64_t, kParts> MembershipView::parts() const {
   std::array<std::uint64_t, kParts> out{};
   auto add = [&](const Entry& e) {
     out[part_of(e.who)] ^= hash(e.who, e.state, e.incarnation);
@@ -487,7 +487,7 @@
 
 // Where the digests of two tables differ though nothing is new, one tells the digests of its parts,
 // and the other what it holds in those that differ: a few datagrams, however large the table is.
-void View::compare(const Endpoint& from, std::string_view bytes) {
+void MembershipView::compare(const Endpoint& from, std::string_view bytes) {
   auto own = parts();
   std::vector<Entry> entries;
   auto add = [&](const Entry& e) {
@@ -503,16 +503,17 @@
     write(from, kNews, 0, {}, std::span(entries).subspan(at, std::min(most, entries.size() - at)));
 }
 
-std::size_t View::most_entries() const {
+std::size_t MembershipView::most_entries() const {
   return (options_.longest - kHead - kCheck) / kEntry;
 }
 
-void View::say(const Endpoint& to, int kind, std::uint32_t number, const Endpoint& target) {
+void MembershipView::say(const Endpoint& to, int kind, std::uint32_t number,
+                         const Endpoint& target) {
   write(to, kind, number, target, news_for(to));
 }
 
-void View::write(const Endpoint& to, int kind, std::uint32_t number, const Endpoint& target,
-                 std::span<const Entry> entries) {
+void MembershipView::write(const Endpoint& to, int kind, std::uint32_t number,
+                           const Endpoint& target, std::span<const Entry> entries) {
   std::string out;
   out += static_cast<char>(kVersion);
   put(out, static_cast<std::uint64_t>(kind), 1);
@@ -541,7 +542,7 @@
   send_(to, out);
 }
 
-void View::leave(Time) {
+void MembershipView::leave(Time) {
   if (std::exchange(left_, true))
     return;
   std::vector<Endpoint> to;
--- a/src/fleet/membership_view.h
+++ b/src/fleet/membership_view.h
@@ -1,5 +1,5 @@
 // Who of the fleet is there, as this member holds it: SWIM with local health, digests, and probes
-// of the dead. Pure: bytes and time in, bytes and events out. Hearsay, for people and for saving
+// of the dead. Pure: bytes and time in, bytes and events out. Gossip, for people and for saving
 // messages; no decision on orders rests on it. docs/design/fleet-view.md has the ways that were
 // weighed.
 //
@@ -61,7 +61,7 @@
   Time flaps_at{};
 };
 
-class View {
+class MembershipView {
  public:
   struct Entry {
     Endpoint who;
@@ -88,7 +88,7 @@
   using Changed = std::function<void(const Endpoint& member, State state, std::uint32_t incarnation,
                                      bool other)>;
 
-  View(Options options, Time now, Send send, Changed changed);
+  MembershipView(Options options, Time now, Send send, Changed changed);
 
   void tick(Time now);
   // False: not a message of this kind, and nothing of it counts.
--- a/src/fleet/message_authenticator.cpp
+++ b/src/fleet/message_authenticator.cpp
@@ -12,7 +12,7 @@
 
 constexpr unsigned char kSealed = 0x31;
 constexpr std::size_t kHead = 16, kHash = 16;
-constexpr Seal::Wall kLongestSession = 0x7fffffff;
+constexpr MessageAuthenticator::Wall kLongestSession = 0x7fffffff;
 constexpr std::size_t kManySenders =
     1024;  // from then on those that are too old to be replayed are let go
 
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-const char* Seal::to_text(Fault fault) {
+const char* MessageAuthenticator::to_text(Fault fault) {
   switch (fault) {
     case Fault::None:
       return "none";
@@ -51,13 +51,13 @@
   return "";
 }
 
-Seal::Seal(std::vector<Key> keys, Endpoint self, Wall now)
+MessageAuthenticator::MessageAuthenticator(std::vector<Key> keys, Endpoint self, Wall now)
     : keys_(std::move(keys)), self_(self), session_(now) {
   if (sodium_init() < 0)
     throw std::runtime_error("libsodium does not start");
 }
 
-std::string Seal::close(Wall now, const Endpoint& to, std::string_view plain) {
+std::string MessageAuthenticator::close(Wall now, const Endpoint& to, std::string_view plain) {
   // A clock that was put back must not make a session look older than what was said in it.
   if (now > session_ + kLongestSession || counter_ == UINT32_MAX) {
     session_ = now;
@@ -76,8 +76,9 @@
   return out;
 }
 
-Seal::Fault Seal::open(Wall now, const Endpoint& from, std::string_view bytes,
-                       std::string_view& plain) {
+MessageAuthenticator::Fault MessageAuthenticator::open(Wall now, const Endpoint& from,
+                                                       std::string_view bytes,
+                                                       std::string_view& plain) {
   if (bytes.size() < kHead + kHash || static_cast<unsigned char>(bytes[0]) != kSealed)
     return Fault::NotSealed;
   auto key = std::ranges::find(keys_, get(bytes, 1, 1), &Key::id);
@@ -106,7 +107,7 @@
   return Fault::None;
 }
 
-bool Seal::fresh(Seen& seen, Wall session, std::uint32_t counter) {
+bool MessageAuthenticator::fresh(Seen& seen, Wall session, std::uint32_t counter) {
   if (session < seen.session)
     return false;
   if (session > seen.session)
--- a/src/fleet/message_authenticator.h
+++ b/src/fleet/message_authenticator.h
@@ -23,7 +23,7 @@
   std::array<unsigned char, 32> secret{};
 };
 
-class Seal {
+class MessageAuthenticator {
  public:
   using Wall = std::uint64_t;                   // ms since 1970
   static constexpr std::size_t kOverhead = 32;  // bytes
@@ -36,7 +36,7 @@
 
   // `keys`: at least one; the first one seals. Throws std::runtime_error where libsodium cannot
   // start.
-  Seal(std::vector<Key> keys, Endpoint self, Wall now);
+  MessageAuthenticator(std::vector<Key> keys, Endpoint self, Wall now);
 
   void exchange(std::vector<Key> keys) { keys_ = std::move(keys); }
   std::string close(Wall now, const Endpoint& to, std::string_view plain);
--- a/src/hot_restart/ownership.cpp
+++ b/src/hot_restart/ownership.cpp
@@ -2,7 +2,7 @@
 
 namespace dispatcher::hot_restart {
 
-Elder::Do Elder::hello(std::uint32_t version, const Who& who) {
+OutgoingProcess::Do OutgoingProcess::hello(std::uint32_t version, const Who& who) {
   if (state_ != State::Alone)
     return nonsense();
   if (version != kVersion || who != self_)
@@ -11,7 +11,7 @@
   return Do::Welcome;
 }
 
-Elder::Do Elder::ready() {
+OutgoingProcess::Do OutgoingProcess::ready() {
   if (state_ != State::Courted)
     return nonsense();
   state_ = State::Yielded;
@@ -20,52 +20,52 @@
 
 // Once it has yielded the other one serves, and hanging up would make two that do: what cannot be
 // read is left alone then, and only the end of the link says that the other one is dead.
-Elder::Do Elder::nonsense() {
+OutgoingProcess::Do OutgoingProcess::nonsense() {
   if (state_ == State::Yielded)
     return Do::Nothing;
   state_ = State::Alone;
   return Do::HangUp;
 }
 
-Elder::Do Elder::ended() {
+OutgoingProcess::Do OutgoingProcess::ended() {
   State was = state_;
   state_ = State::Alone;
   return was == State::Yielded ? Do::TakeBack : Do::Nothing;
 }
 
-Heir::Do Heir::welcome() {
+IncomingProcess::Do IncomingProcess::welcome() {
   if (state_ != State::Asking)
     return nonsense();
   state_ = State::Expected;
   return Do::SayReady;
 }
 
-Heir::Do Heir::refused() {
+IncomingProcess::Do IncomingProcess::refused() {
   if (state_ == State::Serving)
     return Do::Nothing;
   state_ = State::Serving;
   return Do::ServeAlone;
 }
 
-Heir::Do Heir::yours() {
+IncomingProcess::Do IncomingProcess::yours() {
   if (state_ != State::Expected)
     return nonsense();
   state_ = State::Serving;
   return Do::Serve;
 }
 
-Heir::Do Heir::nonsense() {
+IncomingProcess::Do IncomingProcess::nonsense() {
   return state_ == State::Serving ? Do::Nothing : Do::HangUp;
 }
 
-Heir::Do Heir::ended() {
+IncomingProcess::Do IncomingProcess::ended() {
   if (state_ == State::Serving)
     return Do::Nothing;
   state_ = State::Asking;
   return Do::AskAgain;
 }
 
-Heir::Do Heir::nobody() {
+IncomingProcess::Do IncomingProcess::nobody() {
   if (state_ == State::Serving)
     return Do::Nothing;
   state_ = State::Serving;
--- a/src/hot_restart/ownership.h
+++ b/src/hot_restart/ownership.h
@@ -20,12 +20,12 @@
 };
 
 // The old process's side. One newcomer at a time.
-class Elder {
+class OutgoingProcess {
  public:
   enum class State { Alone, Courted, Yielded };
   enum class Do { Nothing, Welcome, Refuse, Yield, TakeBack, HangUp };
 
-  explicit Elder(Who self) : self_(std::move(self)) {}
+  explicit OutgoingProcess(Who self) : self_(std::move(self)) {}
   State state() const { return state_; }
 
   bool free() const { return state_ == State::Alone; }  // else another newcomer is hung up on
@@ -40,7 +40,7 @@
 };
 
 // The new process's side.
-class Heir {
+class IncomingProcess {
  public:
   enum class State {
     Asking,    // Hello is said, or nobody could be asked yet
--- a/src/http/admin_server.cpp
+++ b/src/http/admin_server.cpp
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-void OpsFront::on_accepted(SlotRef at) {
+void AdminServer::on_accepted(SlotRef at) {
   Caller& c = callers_[at];
   c.place = ++placed_;
   order_[c.place] = at;
@@ -20,7 +20,7 @@
   });
 }
 
-void OpsFront::on_bytes(SlotRef at, std::string_view bytes) {
+void AdminServer::on_bytes(SlotRef at, std::string_view bytes) {
   auto it = callers_.find(at);
   if (it == callers_.end())
     return;
@@ -38,18 +38,18 @@
   }
 }
 
-void OpsFront::respond(SlotRef at, const operations::Answer& answer) {
+void AdminServer::respond(SlotRef at, const operations::Answer& answer) {
   forget(at);
   network_.send(at, protocol::write_response(answer.status, {{"Content-Type", "text/plain"}},
                                              answer.body, false));
   network_.finish(at);
 }
 
-void OpsFront::on_closed(SlotRef at, bool) {
+void AdminServer::on_closed(SlotRef at, bool) {
   forget(at);
 }
 
-void OpsFront::forget(SlotRef at) {
+void AdminServer::forget(SlotRef at) {
   auto it = callers_.find(at);
   if (it == callers_.end())
     return;
@@ -61,7 +61,7 @@
 // Guards newcomers against callers that connect and say nothing: a call that is there is answered
 // in the turn it comes, so whoever is still here has been silent or slow, and the one that has been
 // here longest goes.
-bool OpsFront::shed_idle() {
+bool AdminServer::shed_idle() {
   for (auto [place, at] : order_) {
     if (network_.unread(at))
       continue;
--- a/src/http/admin_server.h
+++ b/src/http/admin_server.h
@@ -11,10 +11,11 @@
 
 namespace dispatcher::http {
 
-class OpsFront final : public transport::Acceptor {
+class AdminServer final : public transport::Acceptor {
  public:
-  OpsFront(transport::Network& network, transport::Deadlines& deadlines,
-           const transport::Clock& clock, operations::Log& log, operations::Desk& desk)
+  AdminServer(transport::Network& network, transport::Deadlines& deadlines,
+              const transport::Clock& clock, operations::Log& log,
+              operations::AdminOperations& desk)
       : network_(network), deadlines_(deadlines), clock_(clock), log_(log), desk_(desk) {}
 
   void on_accepted(transport::SlotRef connection) override;
@@ -35,7 +36,7 @@
   transport::Deadlines& deadlines_;
   const transport::Clock& clock_;
   operations::Log& log_;
-  operations::Desk& desk_;
+  operations::AdminOperations& desk_;
   std::map<transport::SlotRef, Caller> callers_;       // whose call has not come whole
   std::map<std::uint64_t, transport::SlotRef> order_;  // the same, longest there first
   std::uint64_t placed_ = 0;
--- a/src/http/client_server.cpp
+++ b/src/http/client_server.cpp
@@ -15,7 +15,7 @@
 constexpr transport::Duration kFirst{2000};
 constexpr transport::Duration kSlowest{10'000};
 bool is_command(const Message& head) {
-  return head.method == "POST" && protocol::is_command_path(head.target);
+  return head.method == "POST" && protocol::is_request_path(head.target);
 }
 
 constexpr transport::Duration kOneArrival{5};
@@ -24,21 +24,21 @@
 
 }  // namespace
 
-HttpFront::Session& HttpFront::begin(SlotRef at) {
+ClientServer::Session& ClientServer::begin(SlotRef at) {
   Session& s = sessions_[at];
   if (on_streams_)
     s.parser.stream(is_command, on_streams_->most_body);
   return s;
 }
 
-void HttpFront::on_accepted(SlotRef at) {
+void ClientServer::on_accepted(SlotRef at) {
   Session& s = begin(at);
   s.place = ++order_;
   fresh_[s.place] = at;
   wait_for_whole(at, s, kFirst);
 }
 
-void HttpFront::on_bytes(SlotRef at, std::string_view bytes) {
+void ClientServer::on_bytes(SlotRef at, std::string_view bytes) {
   auto it = sessions_.find(at);
   if (it == sessions_.end())
     return;
@@ -55,7 +55,7 @@
 
 // Guards the other connections against one that sends hundreds of requests at once: a few are
 // answered, the next ones after everybody else had a turn.
-void HttpFront::work(SlotRef at) {
+void ClientServer::work(SlotRef at) {
   for (int handled = 0;; ++handled) {
     auto it = sessions_.find(at);
     if (it == sessions_.end() || it->second.command || it->second.transfer || it->second.asks)
@@ -99,7 +99,7 @@
 }
 
 // Guards the table against clients that say nothing, or send a byte now and then.
-void HttpFront::wait_for_whole(SlotRef at, Session& s, transport::Duration longest) {
+void ClientServer::wait_for_whole(SlotRef at, Session& s, transport::Duration longest) {
   s.slow = on_.deadlines.add(on_.clock.now() + longest, [this, at] {
     auto slow = sessions_.find(at);
     if (slow == sessions_.end())
@@ -112,7 +112,7 @@
   });
 }
 
-void HttpFront::hold(SlotRef at, Session& s, bool held) {
+void ClientServer::hold(SlotRef at, Session& s, bool held) {
   if (std::exchange(s.held, held) == held)
     return;
   if (held) {
@@ -126,7 +126,7 @@
 // A client's patience counts from its last byte, and a command that was sent ahead may have waited
 // here for most of it. Bytes within a few milliseconds count as one arrival, so that single ones
 // cost little.
-void HttpFront::feed(Session& s, std::string_view bytes) {
+void ClientServer::feed(Session& s, std::string_view bytes) {
   transport::Time now = on_.clock.now();
   transport::Time came = s.held ? now : s.held_since.value_or(now);
   s.held_since = s.held ? s.held_since : std::nullopt;
@@ -138,18 +138,18 @@
   s.parser.feed(bytes);
 }
 
-transport::Time HttpFront::arrived(Session& s) const {
+transport::Time ClientServer::arrived(Session& s) const {
   std::uint64_t used = s.fed - s.parser.buffered();
   while (s.arrivals.size() > 1 && s.arrivals.front().upto < used)
     s.arrivals.pop_front();
   return s.arrivals.empty() ? on_.clock.now() : s.arrivals.front().last;
 }
 
-void HttpFront::handle(SlotRef at, Message m) {
+void ClientServer::handle(SlotRef at, Message m) {
   std::string_view path = std::string_view(m.target).substr(0, m.target.find('?'));
   bool ready = path == "/ready";
   bool news = path == "/_jobs/news";
-  if (!ready && !news && !protocol::is_command_path(m.target))
+  if (!ready && !news && !protocol::is_request_path(m.target))
     return respond(at, 404, kText, "no such path");
   const char* method = ready ? "GET" : "POST";
   if (m.method != method)
@@ -165,19 +165,19 @@
   take_command(at, std::move(m));
 }
 
-void HttpFront::take_command(SlotRef at, Message m) {
+void ClientServer::take_command(SlotRef at, Message m) {
   bool streamed = m.streamed;
   bool expects = protocol::same_name(m.header("Expect"), "100-continue");
   std::string first = streamed ? std::exchange(m.body, {}) : std::string();
   Headers fields = streamed ? protocol::content_fields(m.headers) : Headers();
-  protocol::ClientCommand command;
+  protocol::ClientRequest command;
   try {
-    command = protocol::read_command(std::move(m), on_.words);
+    command = protocol::parse_client_request(std::move(m), on_.words);
   } catch (const protocol::Refused& e) {
     return reject(at, 400, e.what());
   }
   auto waited = on_.clock.now() - arrived(sessions_.at(at));
-  command.request.patience = std::max(scheduling::Duration(0), command.request.patience - waited);
+  command.request.timeout = std::max(scheduling::Duration(0), command.request.timeout - waited);
   if (streamed) {
     command.fields = std::move(fields);
     stretch_patience(command.request);
@@ -187,7 +187,7 @@
     router_->count_nack(request.job_class);
     return respond(at, 503, {}, "this dispatcher ends");
   }
-  auto cargo = std::make_shared<HttpCargo>(std::move(command));
+  auto cargo = std::make_shared<HttpRequestPayload>(std::move(command));
   if (!give_pipes(*cargo, streamed)) {
     on_.log.line("stream", "no memory for another body; a command was refused");
     router_->count_nack(request.job_class);
@@ -195,7 +195,7 @@
       sessions_.at(at).keep_alive = false;
     return respond(at, 503, {}, "too many bodies are on their way");
   }
-  auto taken = router_->take({request, cargo}, [&](routing::CommandRef c) {
+  auto taken = router_->take({request, cargo}, [&](routing::RequestRef c) {
     Session& s = sessions_.at(at);
     s.command = c;
     waiting_[c] = at;
@@ -206,7 +206,7 @@
     begin_upload(at, s, cargo->upload, first, expects);
   });
   using Taking = routing::Router::Taking;
-  // Never reached the module, so nothing of it can have run: trying again is harmless.
+  // Never reached the scheduler, so nothing of it can have run: trying again is harmless.
   if (taken == Taking::Full) {
     on_.log.line("full", "the command table is full; a command was refused");
     if (streamed)
@@ -217,10 +217,10 @@
   }
 }
 
-void HttpFront::take_news(SlotRef at, const Message& m) {
-  protocol::News n;
+void ClientServer::take_news(SlotRef at, const Message& m) {
+  protocol::JobEvent n;
   try {
-    n = protocol::read_news(m.body, on_.words);
+    n = protocol::parse_job_event(m.body, on_.words);
   } catch (const protocol::Refused& e) {
     return reject(at, 400, std::string("call-back: ") + e.what());
   }
@@ -231,7 +231,7 @@
         if (it == sessions_.end())
           return;
         it->second.asks = false;
-        respond(at, taken ? 204 : 503, {}, {});  // after a 503 the instance calls again
+        respond(at, taken ? 204 : 503, {}, {});  // after a 503 the worker calls again
         work(at);
       })) {
     sessions_.at(at).asks = true;
@@ -241,30 +241,30 @@
   hear(std::move(n));
 }
 
-void HttpFront::hear(protocol::News n) {
+void ClientServer::hear(protocol::JobEvent n) {
   routing::Progress p;
   p.id = n.id;
-  p.instance = std::move(n.from);
+  p.worker = std::move(n.from);
   p.report = n.report;
   p.result = std::move(n.result);
-  using What = protocol::News::What;
+  using What = protocol::JobEvent::What;
   using scheduling::Outcome;
   p.started = n.what == What::Started;
   p.progress = n.what == What::Progress;
   p.outcome = n.what == What::Done       ? Outcome::Success
-              : n.what == What::Returned ? Outcome::Overloaded
-              : n.what == What::Lost     ? Outcome::Broken
+              : n.what == What::Returned ? Outcome::Rejected
+              : n.what == What::Lost     ? Outcome::ConnectionReset
                                          : Outcome::Failure;
   router_->progress(std::move(p));
 }
 
 // At the end a connection is kept for as long as there is something of the next message: that has
 // been taken.
-bool HttpFront::keeps(SlotRef at, const Session& s) const {
+bool ClientServer::keeps(SlotRef at, const Session& s) const {
   return s.keep_alive && (stage_ < Stage::Closing || !s.parser.idle() || on_.network.unread(at));
 }
 
-void HttpFront::respond(SlotRef at, int status, const Headers& headers, std::string_view body) {
+void ClientServer::respond(SlotRef at, int status, const Headers& headers, std::string_view body) {
   auto it = sessions_.find(at);
   if (it == sessions_.end())
     return;
@@ -282,15 +282,15 @@
 
 // What makes no sense costs its sender the connection: what follows on it may be the rest of the
 // same nonsense.
-void HttpFront::reject(SlotRef at, int status, const std::string& why) {
+void ClientServer::reject(SlotRef at, int status, const std::string& why) {
   on_.log.line("client", std::to_string(status) + ": " + why);
   if (auto it = sessions_.find(at); it != sessions_.end())
     it->second.keep_alive = false;
   respond(at, status, kText, why);
 }
 
-void HttpFront::answer(routing::CommandRef command, int status, const Headers& headers,
-                       std::string_view body) {
+void ClientServer::answer(routing::RequestRef command, int status, const Headers& headers,
+                          std::string_view body) {
   auto it = waiting_.find(command);
   if (it == waiting_.end())
     return;
@@ -301,7 +301,7 @@
   work(at);  // what the client sent ahead
 }
 
-void HttpFront::served(routing::CommandRef command, routing::Reply reply) {
+void ClientServer::served(routing::RequestRef command, routing::Reply reply) {
   if (!reply.rest)
     return answer(command, 200, reply.fields, reply.body);
   auto it = waiting_.find(command);
@@ -314,7 +314,7 @@
   begin_reply(at, s, std::move(reply));
 }
 
-void HttpFront::nack(routing::CommandRef command, scheduling::Duration retry_after) {
+void ClientServer::nack(routing::RequestRef command, scheduling::Duration retry_after) {
   Headers headers;
   if (retry_after.count() > 0) {
     char seconds[32];
@@ -324,15 +324,15 @@
   answer(command, 503, headers, "refused; nothing of it has run");
 }
 
-void HttpFront::failed(routing::CommandRef command) {
+void ClientServer::failed(routing::RequestRef command) {
   answer(command, 502, kText, "failed; it may have run");
 }
 
-void HttpFront::on_closed(SlotRef at, bool) {
+void ClientServer::on_closed(SlotRef at, bool) {
   auto it = sessions_.find(at);
   if (it == sessions_.end())
     return;
-  std::optional<routing::CommandRef> command = it->second.command;
+  std::optional<routing::RequestRef> command = it->second.command;
   std::function<void()> left = std::move(it->second.left);
   forget(at);
   if (left)
@@ -343,7 +343,7 @@
   router_->client_gone(*command);
 }
 
-void HttpFront::forget(SlotRef at) {
+void ClientServer::forget(SlotRef at) {
   auto it = sessions_.find(at);
   leave_orders(it->second);
   drop_transfer(at, it->second);
@@ -352,14 +352,14 @@
   sessions_.erase(it);
 }
 
-void HttpFront::note_idle(SlotRef at, Session& s) {
+void ClientServer::note_idle(SlotRef at, Session& s) {
   if (s.place != 0)
     return;
   s.place = ++order_;
   idle_[s.place] = at;
 }
 
-void HttpFront::leave_orders(Session& s) {
+void ClientServer::leave_orders(Session& s) {
   fresh_.erase(s.place);
   idle_.erase(s.place);
   s.place = 0;
@@ -369,11 +369,11 @@
 // first request does not come whole. What has sent something that is still to be read is left
 // alone: it may be an ordinary client's request, and the first one on a connection is not sent
 // again.
-bool HttpFront::shed_idle() {
+bool ClientServer::shed_idle() {
   return shed_one(fresh_, true) || shed_one(idle_, true) || shed_one(fresh_, false);
 }
 
-bool HttpFront::shed_one(const Order& from, bool silent_only) {
+bool ClientServer::shed_one(const Order& from, bool silent_only) {
   for (auto [place, at] : from) {
     if ((silent_only && !sessions_.at(at).parser.idle()) || on_.network.unread(at))
       continue;
@@ -385,7 +385,7 @@
   return false;
 }
 
-void HttpFront::pass_on(PassOn pass) {
+void ClientServer::pass_on(PassOn pass) {
   pass_ = std::move(pass);
   std::vector<SlotRef> all;
   for (const auto& [at, s] : sessions_)
@@ -394,7 +394,7 @@
     try_pass(at);
 }
 
-bool HttpFront::try_pass(SlotRef at) {
+bool ClientServer::try_pass(SlotRef at) {
   auto it = sessions_.find(at);
   if (!pass_ || it == sessions_.end())
     return false;
@@ -413,7 +413,7 @@
   return true;
 }
 
-std::optional<HttpFront::Parting> HttpFront::part_with(routing::CommandRef command) {
+std::optional<ClientServer::Parting> ClientServer::part_with(routing::RequestRef command) {
   auto it = waiting_.find(command);
   if (it == waiting_.end())
     return std::nullopt;
@@ -430,7 +430,7 @@
   return p;
 }
 
-void HttpFront::adopt_ward(SlotRef at, const Parting& as, std::function<void()> left) {
+void ClientServer::adopt_ward(SlotRef at, const Parting& as, std::function<void()> left) {
   Session& s = begin(at);
   s.keep_alive = as.keep_alive;
   s.old = as.old;
@@ -439,7 +439,7 @@
   feed(s, as.unread);
 }
 
-void HttpFront::answer_ward(SlotRef at, int status, std::string_view body) {
+void ClientServer::answer_ward(SlotRef at, int status, std::string_view body) {
   auto it = sessions_.find(at);
   if (it == sessions_.end())
     return;
@@ -449,7 +449,7 @@
   work(at);
 }
 
-void HttpFront::adopt(SlotRef at, std::string_view unread, bool used) {
+void ClientServer::adopt(SlotRef at, std::string_view unread, bool used) {
   if (used) {
     begin(at);
   } else {
@@ -458,13 +458,13 @@
   on_bytes(at, unread);
 }
 
-void HttpFront::close_connections() {
+void ClientServer::close_connections() {
   stage_ = std::max(stage_, Stage::Closing);
   finish_all(idle_);
   finish_all(fresh_);
 }
 
-void HttpFront::finish_all(Order from) {  // a copy: each leaves its order
+void ClientServer::finish_all(Order from) {  // a copy: each leaves its order
   for (auto [place, at] : from) {
     if (sessions_.at(at).parser.idle() && !on_.network.unread(at)) {
       forget(at);
--- a/src/http/client_server.h
+++ b/src/http/client_server.h
@@ -1,5 +1,5 @@
-// The client side over HTTP: what comes on the listening address. Service clients hand in commands,
-// instances call back, and the front asks whether the program is ready.
+// The client side over HTTP: what comes on the listening address. Clients hand in commands,
+// workers call back, and the front asks whether the program is ready.
 #pragma once
 
 #include <deque>
@@ -11,15 +11,15 @@
 
 namespace dispatcher::http {
 
-struct HttpCargo final : routing::Cargo {
-  explicit HttpCargo(protocol::ClientCommand c) : command(std::move(c)) {}
-  protocol::ClientCommand command;
+struct HttpRequestPayload final : routing::RequestPayload {
+  explicit HttpRequestPayload(protocol::ClientRequest c) : command(std::move(c)) {}
+  protocol::ClientRequest command;
   std::optional<std::uint64_t> length;  // of an upload that passes through; nothing: chunks
 };
 
-class HttpFront final : public transport::Acceptor, public routing::ClientSide {
+class ClientServer final : public transport::Acceptor, public routing::ClientPort {
  public:
-  HttpFront(Platform on, std::optional<Streaming> streaming)
+  ClientServer(Platform on, std::optional<Streaming> streaming)
       : on_(on), on_streams_(std::move(streaming)) {}
 
   void attach(routing::Router& router) { router_ = &router; }
@@ -47,7 +47,7 @@
     bool keep_alive = true;
     bool old = false;
   };
-  std::optional<Parting> part_with(routing::CommandRef command);
+  std::optional<Parting> part_with(routing::RequestRef command);
   void adopt(transport::SlotRef connection, std::string_view unread,
              bool used);  // one that came from there
   // The same while a command of it is open, which is answered by answer_ward(); `left`: the client
@@ -55,7 +55,7 @@
   void adopt_ward(transport::SlotRef connection, const Parting& as, std::function<void()> left);
   void answer_ward(transport::SlotRef connection, int status, std::string_view body);
   // Call-backs are offered here first; true: it was for a ward.
-  void on_ward_news(std::function<bool(const protocol::News&)> hear) {
+  void on_ward_news(std::function<bool(const protocol::JobEvent&)> hear) {
     ward_news_ = std::move(hear);
   }
   // A call-back for a job that is not known here; false: there is nobody to ask. `told` comes
@@ -64,16 +64,16 @@
   void forward_news(Forward forward) { forward_ = std::move(forward); }
   void cut_streams();  // the time is over: replies that are on their way end here
 
-  void hear(protocol::News news);  // a call-back, wherever it came
+  void hear(protocol::JobEvent news);  // a call-back, wherever it came
   void on_accepted(transport::SlotRef connection) override;
   void on_bytes(transport::SlotRef connection, std::string_view bytes) override;
   void on_closed(transport::SlotRef connection, bool all_written) override;
   void on_written(transport::SlotRef connection) override;
   bool shed_idle() override;
 
-  void served(routing::CommandRef command, routing::Reply reply) override;
-  void nack(routing::CommandRef command, scheduling::Duration retry_after) override;
-  void failed(routing::CommandRef command) override;
+  void served(routing::RequestRef command, routing::Reply reply) override;
+  void nack(routing::RequestRef command, scheduling::Duration retry_after) override;
+  void failed(routing::RequestRef command) override;
 
  private:
   struct Transfer {                           // of bodies that pass through
@@ -93,7 +93,7 @@
   };
   struct Session {
     protocol::Parser parser{protocol::Parser::Kind::Request};
-    std::optional<routing::CommandRef>
+    std::optional<routing::RequestRef>
         command;  // one at a time; what follows it waits in the parser
     std::unique_ptr<Transfer> transfer;
     bool keep_alive = true;
@@ -121,7 +121,7 @@
   void work(transport::SlotRef connection);
   void handle(transport::SlotRef connection, protocol::Message message);
   void take_command(transport::SlotRef connection, protocol::Message message);
-  bool give_pipes(HttpCargo& cargo, bool uploads);
+  bool give_pipes(HttpRequestPayload& cargo, bool uploads);
   void stretch_patience(scheduling::Request& request) const;
   void begin_upload(transport::SlotRef connection, Session& s,
                     std::shared_ptr<streaming::Pipe> upload, std::string_view first, bool expects);
@@ -138,7 +138,7 @@
   void take_news(transport::SlotRef connection, const protocol::Message& message);
   void respond(transport::SlotRef connection, int status, const protocol::Headers& headers,
                std::string_view body);
-  void answer(routing::CommandRef command, int status, const protocol::Headers& headers,
+  void answer(routing::RequestRef command, int status, const protocol::Headers& headers,
               std::string_view body);
   void reject(transport::SlotRef connection, int status, const std::string& why);
   void wait_for_whole(transport::SlotRef connection, Session& s, transport::Duration longest);
@@ -155,14 +155,14 @@
   routing::Router* router_ = nullptr;
   Stage stage_ = Stage::Starting;
   std::map<transport::SlotRef, Session> sessions_;
-  std::map<routing::CommandRef, transport::SlotRef>
+  std::map<routing::RequestRef, transport::SlotRef>
       waiting_;  // commands and the connections they came on
   Order fresh_;  // have not brought a whole request yet
   Order idle_;   // have, and are between two
   std::uint64_t order_ = 0;
   PassOn pass_;
   Forward forward_;
-  std::function<bool(const protocol::News&)> ward_news_;
+  std::function<bool(const protocol::JobEvent&)> ward_news_;
 };
 
 }  // namespace dispatcher::http
--- a/src/http/client_server_streams.cpp
+++ b/src/http/client_server_streams.cpp
@@ -11,7 +11,7 @@
 
 // Each order owns the memory for a reply that passes through, and where its body does, for that:
 // nothing that has begun ever waits for memory that another holds.
-bool HttpFront::give_pipes(HttpCargo& cargo, bool uploads) {
+bool ClientServer::give_pipes(HttpRequestPayload& cargo, bool uploads) {
   if (!on_streams_)
     return true;
   streaming::Budget& budget = *on_streams_->budget;
@@ -23,17 +23,17 @@
   return true;
 }
 
-// A deadline beyond the class's is for the way of the body: the module counts with the class's
+// A deadline beyond the class's is for the way of the body: the scheduler counts with the class's
 // patience.
-void HttpFront::stretch_patience(scheduling::Request& request) const {
-  scheduling::Duration left = std::min(request.patience, on_streams_->longest);
+void ClientServer::stretch_patience(scheduling::Request& request) const {
+  scheduling::Duration left = std::min(request.timeout, on_streams_->longest);
   request.streamed = true;
-  request.patience = std::min(left, on_.words.deadlines[request.job_class]);
-  request.transfer = left - request.patience;
+  request.timeout = std::min(left, on_.words.deadlines[request.job_class]);
+  request.transfer = left - request.timeout;
 }
 
-void HttpFront::begin_upload(SlotRef at, Session& s, std::shared_ptr<streaming::Pipe> upload,
-                             std::string_view first, bool expects) {
+void ClientServer::begin_upload(SlotRef at, Session& s, std::shared_ptr<streaming::Pipe> upload,
+                                std::string_view first, bool expects) {
   s.transfer = std::make_unique<Transfer>();
   Transfer& t = *s.transfer;
   t.reader = s.parser.pass();
@@ -53,7 +53,7 @@
 
 // The client may send as much as the pipe has room for, and what it sends beyond waits in the
 // network.
-void HttpFront::upload_room(SlotRef at) {
+void ClientServer::upload_room(SlotRef at) {
   auto it = sessions_.find(at);
   if (it == sessions_.end() || !it->second.transfer)
     return;
@@ -69,7 +69,7 @@
   t.uploads.wait(on_.clock.now(), room > 0 && !t.expects);
 }
 
-void HttpFront::on_upload(SlotRef at, Session& s, std::string_view bytes) {
+void ClientServer::on_upload(SlotRef at, Session& s, std::string_view bytes) {
   Transfer& t = *s.transfer;
   if (!t.upload)
     return;  // answered before it was whole: what comes is thrown away
@@ -96,12 +96,12 @@
 }
 
 // The body makes no sense or does not come: nothing of it has begun. Its attempt is withdrawn
-// first, so that the memory is back and the instance knows.
-void HttpFront::abort_upload(SlotRef at, int status, const std::string& why) {
+// first, so that the memory is back and the worker knows.
+void ClientServer::abort_upload(SlotRef at, int status, const std::string& why) {
   auto it = sessions_.find(at);
   if (it == sessions_.end())
     return;
-  std::optional<routing::CommandRef> command = std::exchange(it->second.command, std::nullopt);
+  std::optional<routing::RequestRef> command = std::exchange(it->second.command, std::nullopt);
   if (command)
     waiting_.erase(*command);
   if (command)
@@ -111,7 +111,7 @@
 }
 
 // What the client still sends of its upload when it is answered is nobody's.
-void HttpFront::leave_upload(SlotRef at, Session& s) {
+void ClientServer::leave_upload(SlotRef at, Session& s) {
   Transfer& t = *s.transfer;
   if (!t.upload)
     return;
@@ -126,7 +126,7 @@
   t.uploads.wait(on_.clock.now(), false);
 }
 
-void HttpFront::begin_reply(SlotRef at, Session& s, routing::Reply reply) {
+void ClientServer::begin_reply(SlotRef at, Session& s, routing::Reply reply) {
   bool fresh = !s.transfer;
   if (fresh)
     s.transfer = std::make_unique<Transfer>();
@@ -153,7 +153,7 @@
   pump_reply(at);
 }
 
-void HttpFront::pump_reply(SlotRef at) {
+void ClientServer::pump_reply(SlotRef at) {
   auto it = sessions_.find(at);
   if (it == sessions_.end() || !it->second.transfer || !it->second.transfer->reply)
     return;
@@ -171,7 +171,7 @@
     end_reply(at);
 }
 
-void HttpFront::end_reply(SlotRef at) {
+void ClientServer::end_reply(SlotRef at) {
   Session& s = sessions_.at(at);
   drop_transfer(at, s);
   if (!s.keep_alive || stage_ >= Stage::Closing) {
@@ -186,13 +186,13 @@
 }
 
 // No second answer on this connection: it ends without its last chunk, or short of its length.
-void HttpFront::cut_reply(SlotRef at, const std::string& why) {
+void ClientServer::cut_reply(SlotRef at, const std::string& why) {
   on_.log.line("stream", "a reply was cut, its order has failed: " + why);
   forget(at);
   on_.network.reset(at);
 }
 
-void HttpFront::cut_streams() {
+void ClientServer::cut_streams() {
   std::vector<SlotRef> open;
   for (auto& [at, s] : sessions_) {
     if (s.transfer && s.transfer->reply)
@@ -202,7 +202,7 @@
     cut_reply(at, "the time to end is over");
 }
 
-void HttpFront::on_written(SlotRef at) {
+void ClientServer::on_written(SlotRef at) {
   auto it = sessions_.find(at);
   if (it == sessions_.end())
     return;
@@ -214,7 +214,7 @@
 
 // One timer for both directions, moved only when it fires: touching it for each piece would cost
 // more than the piece.
-void HttpFront::watch_stall(SlotRef at, Transfer& t) {
+void ClientServer::watch_stall(SlotRef at, Transfer& t) {
   t.stall = on_.deadlines.add(on_.clock.now() + on_streams_->stall / 4, [this, at] {
     auto it = sessions_.find(at);
     if (it == sessions_.end() || !it->second.transfer)
@@ -230,7 +230,7 @@
   });
 }
 
-void HttpFront::drop_transfer(SlotRef at, Session& s) {
+void ClientServer::drop_transfer(SlotRef at, Session& s) {
   if (!s.transfer)
     return;
   Transfer& t = *s.transfer;
--- a/src/http/discovery_client.cpp
+++ b/src/http/discovery_client.cpp
@@ -27,7 +27,7 @@
 // dispatchers ask at once, after a release or a break: whole lists are what it works on longest,
 // and asking for them again and again keeps it overbooked. Only who holds no list, or one that
 // discovery cannot go on from, asks for all of it.
-void HttpNames::watch() {
+void DiscoveryClient::watch() {
   if (!asking_)
     ask();
 }
@@ -35,7 +35,7 @@
 // At once, and whether or not a call is out or a pause after a failed one runs: what the new
 // address has to tell counts as told soon. Its first whole list replaces what the old one told, as
 // after any break.
-void HttpNames::move(const std::string& address) {
+void DiscoveryClient::move(const std::string& address) {
   if (address == options_.address)
     return;
   options_.address = address;
@@ -45,12 +45,12 @@
   watch();
 }
 
-void HttpNames::ask() {
+void DiscoveryClient::ask() {
   if (!connection_) {
     connection_ = on_.network.connect(options_.address, *this, transport::Urgency::High);
     parser_ = protocol::Parser(protocol::Parser::Kind::Response, kMostList);
   }
-  if (!connection_) {  // told in the next turn: this may be inside an action of the module
+  if (!connection_) {  // told in the next turn: this may be inside an action of the scheduler
     asking_ = true;
     late_ = on_.deadlines.add(on_.clock.now(), [this] { fail("no connection to be had"); });
     return;
@@ -64,7 +64,7 @@
   on_.network.send(*connection_, protocol::write_watch(revision_, wait, options_.address));
 }
 
-void HttpNames::on_bytes(transport::SlotRef at, std::string_view bytes) {
+void DiscoveryClient::on_bytes(transport::SlotRef at, std::string_view bytes) {
   if (at != connection_)
     return;
   parser_.feed(bytes);
@@ -78,14 +78,14 @@
   }
 }
 
-void HttpNames::answered(const protocol::Message& m) {
+void DiscoveryClient::answered(const protocol::Message& m) {
   if (!asking_)
     return hang_up();
   if (m.status != 200)
     return fail("answered " + std::to_string(m.status));
-  protocol::NameList list;
+  protocol::EndpointUpdate list;
   try {
-    list = protocol::read_names(protocol::parse_json(m.body), on_.words);
+    list = protocol::parse_endpoint_update(protocol::parse_json(m.body), on_.words);
   } catch (const protocol::Refused& e) {
     revision_.reset();  // whoever writes that may have lost more: begin anew
     return fail(std::string("malformed list: ") + e.what());
@@ -109,10 +109,12 @@
   if (!stands_)
     hang_up();
   ask();  // first: a watch ends when its next call is late
-  changed_(list.whole ? scheduling::ListKind::Complete : scheduling::ListKind::Partial, list);
+  changed_(
+      list.whole ? scheduling::EndpointUpdateKind::Snapshot : scheduling::EndpointUpdateKind::Delta,
+      list);
 }
 
-void HttpNames::on_closed(transport::SlotRef at, bool all_written) {
+void DiscoveryClient::on_closed(transport::SlotRef at, bool all_written) {
   if (at != connection_)
     return;
   connection_.reset();
@@ -122,17 +124,17 @@
     fail(all_written ? "the connection ended" : "no connection to " + options_.address);
 }
 
-void HttpNames::fail(const std::string& why) {
+void DiscoveryClient::fail(const std::string& why) {
   on_.log.line("names", "a call to discovery failed: " + why);
   ++failed_;
   hang_up();
   asking_ = false;
   if (options_.retries)
     late_ = on_.deadlines.add(on_.clock.now() + kPause, [this] { watch(); });
-  changed_(scheduling::ListKind::Error, {});
+  changed_(scheduling::EndpointUpdateKind::Failed, {});
 }
 
-void HttpNames::hang_up() {
+void DiscoveryClient::hang_up() {
   stands_ = false;
   on_.deadlines.drop(late_);
   if (connection_)
--- a/src/http/discovery_client.h
+++ b/src/http/discovery_client.h
@@ -1,4 +1,4 @@
-// The name table over HTTP: one watch on discovery, each call following the last answer at once.
+// The endpoint list over HTTP: one watch on discovery, each call following the last answer at once.
 #pragma once
 
 #include "http/platform.h"
@@ -6,18 +6,19 @@
 
 namespace dispatcher::http {
 
-class HttpNames final : public transport::ConnectionHandler, public routing::NameTableSide {
+class DiscoveryClient final : public transport::ConnectionHandler, public routing::DiscoveryPort {
  public:
   struct Options {
     std::string address;
     transport::Duration wait{2000};  // of a watch call
     bool retries = false;            // nobody above asks again: watch() is repeated here
   };
-  HttpNames(Platform on, Options options) : on_(on), options_(std::move(options)) {}
+  DiscoveryClient(Platform on, Options options) : on_(on), options_(std::move(options)) {}
 
   void trace(std::function<void(const std::string&)> trace) { trace_ = std::move(trace); }
 
-  using Changed = std::function<void(scheduling::ListKind, const protocol::NameList&)>;
+  using Changed =
+      std::function<void(scheduling::EndpointUpdateKind, const protocol::EndpointUpdate&)>;
   void attach(Changed changed) { changed_ = std::move(changed); }
 
   void hold(std::int64_t revision) {
--- a/src/http/platform.h
+++ b/src/http/platform.h
@@ -13,9 +13,9 @@
   transport::Network& network;
   transport::Deadlines& deadlines;
   const transport::Clock& clock;
-  const protocol::Vocabulary& words;
+  const protocol::IdentifierTables& words;
   operations::Log& log;
-  operations::Figures& figures;
+  operations::Metrics& metrics;
 };
 
 }  // namespace dispatcher::http
--- a/src/http/worker_client.cpp
+++ b/src/http/worker_client.cpp
@@ -15,21 +15,21 @@
   return head.status == 200;
 }
 
-constexpr std::size_t kMostIdle = 2;  // pooled connections an instance, for probes and withdrawals
-// How long a submit's last byte is held back on a connection that has come up: an instance that
+constexpr std::size_t kMostIdle = 2;  // pooled connections a worker, for probes and withdrawals
+// How long a submit's last byte is held back on a connection that has come up: a worker that
 // resets connections does so within this of the first bytes.
 constexpr transport::Duration kHeldBack{3};
 
 }  // namespace
 
-void HttpInstances::update(const protocol::NameList& list) {
+void WorkerClient::update(const protocol::EndpointUpdate& list) {
   if (list.whole) {
-    for (auto& [uid, i] : instances_)
+    for (auto& [uid, i] : workers_)
       i.gone = true;
   }
-  for (const protocol::Listed& l : list.entries) {
-    Instance& i = instances_[l.uid];
-    i.gone = l.entry.readiness == scheduling::Readiness::Gone;
+  for (const protocol::WorkerEndpoint& l : list.entries) {
+    Worker& i = workers_[l.uid];
+    i.gone = l.entry.readiness == scheduling::Readiness::Removed;
     // Connections to a process that has been replaced are dead, even where its machine never said
     // so.
     bool moved = !l.address.empty() && l.address != i.address;
@@ -41,47 +41,48 @@
       i.address = l.address;
     i.online_since = l.entry.online_since;
   }
-  for (auto it = instances_.begin(); it != instances_.end();) {
+  for (auto it = workers_.begin(); it != workers_.end();) {
     if (it->second.gone) {
       it->second.closed = true;
       close_pool(it->second);
     }
-    it = it->second.gone && it->second.attempts == 0 ? instances_.erase(it) : std::next(it);
+    it = it->second.gone && it->second.attempts == 0 ? workers_.erase(it) : std::next(it);
   }
 }
 
-// Guards the drain rule and cold instances: a connection may come up long after it was asked for,
+// Guards the drain rule and cold workers: a connection may come up long after it was asked for,
 // and what goes out with it then is a send of that moment.
-void HttpInstances::recall() {
+void WorkerClient::recall() {
   std::vector<AttemptRef> late;
   for (const auto& [at, c] : calls_) {
-    if (c.attempt && c.cargo && instances_.at(c.instance).closed)
+    if (c.attempt && c.cargo && workers_.at(c.worker).closed)
       late.push_back(*c.attempt);
   }
-  for (auto& [uid, i] : instances_)
+  for (auto& [uid, i] : workers_)
     i.closed = false;
   for (AttemptRef attempt : late) {
     if (!active_.contains(attempt))
       continue;  // an earlier one's end has given it up
     give_up(attempt);
-    router_->attempt_ended(attempt, Outcome::Void, {});
+    router_->attempt_ended(attempt, Outcome::NotSent, {});
   }
 }
 
-void HttpInstances::submit(AttemptRef attempt, const std::string& instance,
-                           std::shared_ptr<const routing::Cargo> cargo, scheduling::Time ends) {
-  auto it = instances_.find(instance);
-  if (it == instances_.end())
-    return router_->attempt_ended(attempt, Outcome::Unreachable, {});
-  const auto& http = static_cast<const HttpCargo&>(*cargo);
+void WorkerClient::submit(AttemptRef attempt, const std::string& worker,
+                          std::shared_ptr<const routing::RequestPayload> cargo,
+                          scheduling::Time ends) {
+  auto it = workers_.find(worker);
+  if (it == workers_.end())
+    return router_->attempt_ended(attempt, Outcome::ConnectFailed, {});
+  const auto& http = static_cast<const HttpRequestPayload&>(*cargo);
   // From its first byte; where that has been let go, routing has not asked for this.
   if (cargo->upload && !cargo->upload->rewind())
-    return router_->attempt_ended(attempt, Outcome::Unreachable, {});
+    return router_->attempt_ended(attempt, Outcome::ConnectFailed, {});
   ++it->second.attempts;
-  active_[attempt] = {instance, http.command.id, std::nullopt};
+  active_[attempt] = {worker, http.command.id, std::nullopt};
   Call c;
   c.kind = Kind::Submit;
-  c.instance = instance;
+  c.worker = worker;
   c.attempt = attempt;
   c.reply = cargo->reply;
   c.cargo = cargo;
@@ -96,24 +97,24 @@
     return;
   }
   release(attempt);
-  router_->attempt_ended(attempt, Outcome::Unreachable, {});
+  router_->attempt_ended(attempt, Outcome::ConnectFailed, {});
 }
 
-void HttpInstances::probe(const std::string& instance) {
-  auto it = instances_.find(instance);
+void WorkerClient::probe(const std::string& worker) {
+  auto it = workers_.find(worker);
   Call c;
   c.kind = Kind::Probe;
-  c.instance = instance;
-  if (it == instances_.end() ||
-      !call(std::move(c), protocol::write_probe(times_.reports, it->second.address)))
-    router_->probe_ended(instance, Outcome::Unreachable, {});
+  c.worker = worker;
+  if (it == workers_.end() ||
+      !call(std::move(c), protocol::write_health_check(times_.reports, it->second.address)))
+    router_->probe_ended(worker, Outcome::ConnectFailed, {});
 }
 
 // Before the 202 closing the connection gives the attempt up; after it a call of its own does.
 // Guards against a job that runs on beside its next attempt: what says 202 may lie unread, so it is
 // read first (the sockets come first in the next turn), and where an answer has come in part, both
 // are done.
-void HttpInstances::withdraw(AttemptRef attempt) {
+void WorkerClient::withdraw(AttemptRef attempt) {
   auto it = active_.find(attempt);
   if (it == active_.end())
     return;
@@ -127,7 +128,7 @@
     }
     if (!run || calls_.at(*a.connection).parser.idle()) {
       give_up(attempt);
-      return router_->attempt_ended(attempt, run ? Outcome::Withdrawn : Outcome::Void, {});
+      return router_->attempt_ended(attempt, run ? Outcome::Cancelled : Outcome::NotSent, {});
     }
     hang_up(*std::exchange(a.connection, std::nullopt));
   }
@@ -135,11 +136,11 @@
     tell_withdrawn(attempt);
 }
 
-void HttpInstances::give_up(AttemptRef attempt) {
+void WorkerClient::give_up(AttemptRef attempt) {
   hang_up(*release(attempt)->connection);
 }
 
-void HttpInstances::hang_up(SlotRef at) {
+void WorkerClient::hang_up(SlotRef at) {
   bool streams = calls_.at(at).stream != nullptr;
   drop_call(at);
   if (streams) {
@@ -150,68 +151,68 @@
 }
 
 // Until it is written the attempt is still there, and nothing else of the command may go to that
-// instance. So it is tried until it is, or until the attempt is over.
-void HttpInstances::tell_withdrawn(AttemptRef attempt) {
+// worker. So it is tried until it is, or until the attempt is over.
+void WorkerClient::tell_withdrawn(AttemptRef attempt) {
   auto it = active_.find(attempt);
   if (it == active_.end())
     return;
   it->second.again = {};
   Call c;
   c.kind = Kind::Withdraw;
-  c.instance = it->second.instance;
+  c.worker = it->second.worker;
   c.gives_up = attempt;
-  const std::string& address = instances_.at(it->second.instance).address;
-  if (!call(std::move(c), protocol::write_withdraw(it->second.id, address)))
+  const std::string& address = workers_.at(it->second.worker).address;
+  if (!call(std::move(c), protocol::write_cancellation(it->second.id, address)))
     tell_again(attempt);
 }
 
-void HttpInstances::tell_again(AttemptRef attempt) {
+void WorkerClient::tell_again(AttemptRef attempt) {
   if (auto it = active_.find(attempt); it != active_.end()) {
     it->second.again = on_.deadlines.add(on_.clock.now() + times_.probe,
                                          [this, attempt] { tell_withdrawn(attempt); });
   }
 }
 
-void HttpInstances::given_up(Call& c) {
+void WorkerClient::given_up(Call& c) {
   if (!c.gives_up)
     return;
   AttemptRef attempt = *std::exchange(c.gives_up, std::nullopt);
   if (release(attempt))
-    router_->attempt_ended(attempt, Outcome::Withdrawn, {});
+    router_->attempt_ended(attempt, Outcome::Cancelled, {});
 }
 
-void HttpInstances::withdraw_job(const std::string& instance, const std::string& id) {
-  auto it = instances_.find(instance);
-  if (it == instances_.end())
+void WorkerClient::withdraw_job(const std::string& worker, const std::string& id) {
+  auto it = workers_.find(worker);
+  if (it == workers_.end())
     return;
   Call c;
   c.kind = Kind::Withdraw;
-  c.instance = instance;
-  call(std::move(c), protocol::write_withdraw(id, it->second.address));
+  c.worker = worker;
+  call(std::move(c), protocol::write_cancellation(id, it->second.address));
 }
 
-bool HttpInstances::taken(AttemptRef attempt) const {
+bool WorkerClient::taken(AttemptRef attempt) const {
   auto it = active_.find(attempt);
   return it != active_.end() && !it->second.connection && !it->second.withdrawn;
 }
 
-bool HttpInstances::begun(AttemptRef attempt) const {
+bool WorkerClient::begun(AttemptRef attempt) const {
   auto it = active_.find(attempt);
   return it == active_.end() || !it->second.connection || begun(calls_.at(*it->second.connection));
 }
 
-bool HttpInstances::begun(const Call& c) const {
+bool WorkerClient::begun(const Call& c) const {
   return !c.cargo && c.last.empty() && (!c.stream || !c.stream->upload || c.stream->sent);
 }
 
-void HttpInstances::settled(AttemptRef attempt) {
+void WorkerClient::settled(AttemptRef attempt) {
   if (!begun(attempt))
     return give_up(attempt);  // what ended it was told of an earlier attempt there
   std::optional<Active> a = release(attempt);
   if (!a || !a->connection)
     return;
   // A call-back can overtake the 202: the call goes on without its attempt, so that the connection
-  // is kept. It gets an end of its own now: an instance that never answers must not keep the
+  // is kept. It gets an end of its own now: a worker that never answers must not keep the
   // descriptor.
   Call& c = calls_.at(*a->connection);
   c.attempt.reset();
@@ -219,25 +220,25 @@
                                [this, r = *a->connection] { end(r, Outcome::TimedOut); });
 }
 
-std::optional<HttpInstances::Active> HttpInstances::release(AttemptRef attempt) {
+std::optional<WorkerClient::Active> WorkerClient::release(AttemptRef attempt) {
   auto it = active_.find(attempt);
   if (it == active_.end())
     return std::nullopt;
   Active a = std::move(it->second);
   active_.erase(it);
   on_.deadlines.drop(a.again);
-  if (auto i = instances_.find(a.instance); i != instances_.end())
+  if (auto i = workers_.find(a.worker); i != workers_.end())
     --i->second.attempts;
   return a;
 }
 
 // Guards commands that must not run twice. What is written to a used connection that has gone stale
 // or silent is lost without a proof, and a new one that does not come up is a proof: so each
-// attempt has a new connection. And an instance begins a request with its last byte, so that one is
+// attempt has a new connection. And a worker begins a request with its last byte, so that one is
 // held back until the connection has shown that it stands: a reset before it proves that the job
 // never began.
-bool HttpInstances::call(Call c, std::string bytes) {
-  Instance& i = instances_.at(c.instance);
+bool WorkerClient::call(Call c, std::string bytes) {
+  Worker& i = workers_.at(c.worker);
   std::optional<SlotRef> at;
   bool fresh = i.idle.empty() || c.kind == Kind::Submit;
   if (fresh) {
@@ -250,16 +251,16 @@
       at = on_.network.connect(i.address, *this, transport::Urgency::Normal);
     }
     if (!at) {
-      on_.log.line("instance", c.instance + ": no connection to be had to " + i.address);
+      on_.log.line("instance", c.worker + ": no connection to be had to " + i.address);
       return false;
     }
     c.connect = on_.deadlines.add(on_.clock.now() + times_.connect,
-                                  [this, r = *at] { end(r, Outcome::Unreachable); });
+                                  [this, r = *at] { end(r, Outcome::ConnectFailed); });
   } else {
     at = i.idle.back().connection;
     take_from_pool(*at);
   }
-  // An attempt waits as long as the module lets it; the other calls are ours to end.
+  // An attempt waits as long as the scheduler lets it; the other calls are ours to end.
   if (c.kind != Kind::Submit) {
     c.answer = on_.deadlines.add(on_.clock.now() + times_.probe,
                                  [this, r = *at] { end(r, Outcome::TimedOut); });
@@ -276,11 +277,11 @@
   return true;
 }
 
-// Not before the connection is up: the time that the instance is told is what is left then, but for
+// Not before the connection is up: the time that the worker is told is what is left then, but for
 // the last byte's wait.
-void HttpInstances::write_head(SlotRef at, Call& c) {
-  const auto& cargo = static_cast<const HttpCargo&>(*c.cargo);
-  const std::string& address = instances_.at(c.instance).address;
+void WorkerClient::write_head(SlotRef at, Call& c) {
+  const auto& cargo = static_cast<const HttpRequestPayload&>(*c.cargo);
+  const std::string& address = workers_.at(c.worker).address;
   scheduling::Duration left = c.ends - on_.clock.now() - kHeldBack;
   std::string bytes = c.stream
                           ? protocol::write_submit_head(cargo.command, address, left, cargo.length)
@@ -293,7 +294,7 @@
   on_.network.send(at, std::move(bytes));
 }
 
-void HttpInstances::on_connected(SlotRef at) {
+void WorkerClient::on_connected(SlotRef at) {
   auto it = calls_.find(at);
   if (it == calls_.end())
     return;
@@ -305,7 +306,7 @@
   begin_upload(at);
 }
 
-void HttpInstances::commit(SlotRef at) {
+void WorkerClient::commit(SlotRef at) {
   auto it = calls_.find(at);
   if (it == calls_.end())
     return;
@@ -322,18 +323,18 @@
   note_written(at, it->second);
 }
 
-void HttpInstances::note_written(SlotRef at, Call& c) {
+void WorkerClient::note_written(SlotRef at, Call& c) {
   if (c.connect.order != 0 || on_.network.unsent(at) > 0)
     return;
   if (c.kind == Kind::Withdraw)
     return given_up(c);
   if (c.kind == Kind::Submit && !c.relayed && begun(c)) {
     c.relayed = true;
-    ++on_.figures.relayed;
+    ++on_.metrics.relayed;
   }
 }
 
-void HttpInstances::on_bytes(SlotRef at, std::string_view bytes) {
+void WorkerClient::on_bytes(SlotRef at, std::string_view bytes) {
   auto it = calls_.find(at);
   if (it == calls_.end()) {  // nothing was asked: whatever this answers, it is not our next call
     take_from_pool(at);
@@ -351,13 +352,13 @@
         return on_message(at, *m);
     }
   } catch (const protocol::HttpError& e) {
-    on_.log.line("instance", it->second.instance + ": malformed answer: " + e.what());
+    on_.log.line("instance", it->second.worker + ": malformed answer: " + e.what());
     return end(at, Outcome::Failure);
   }
   pump_upload(at);  // its last byte may have waited for this to be read
 }
 
-void HttpInstances::on_message(SlotRef at, const Message& m) {
+void WorkerClient::on_message(SlotRef at, const Message& m) {
   // Answered before all of its upload went out: a taken job gets the rest, any other ends with its
   // connection.
   bool whole = !calls_.at(at).stream || !calls_.at(at).stream->upload;
@@ -371,18 +372,18 @@
   Call c = std::move(calls_.at(at));
   drop_stream(c);
   drop_call(at);
-  keep_or_close(at, c.instance, whole && m.keep_alive && c.parser.idle() && c.last.empty());
+  keep_or_close(at, c.worker, whole && m.keep_alive && c.parser.idle() && c.last.empty());
   if (c.kind == Kind::Probe) {
-    auto answer = protocol::read_probe_answer(m, on_.words);
-    return router_->probe_ended(c.instance, *answer.end, answer.report);
+    auto answer = protocol::parse_health_check_answer(m, on_.words);
+    return router_->probe_ended(c.worker, *answer.end, answer.report);
   }
   given_up(c);
   if (!c.attempt)
     return;
-  auto answer = protocol::read_submit_answer(m, on_.words, streaming_.has_value());
-  if (never && answer.end != Outcome::Overloaded) {
-    on_.log.line("instance", c.instance + ": answered before it had the whole command");
-    answer.end = Outcome::Unreachable;
+  auto answer = protocol::parse_submit_answer(m, on_.words, streaming_.has_value());
+  if (never && answer.end != Outcome::Rejected) {
+    on_.log.line("instance", c.worker + ": answered before it had the whole command");
+    answer.end = Outcome::ConnectFailed;
   }
   if (!answer.end) {
     active_.at(*c.attempt).connection.reset();  // taken: its call-backs tell the rest
@@ -398,7 +399,7 @@
 }
 
 // A break before the last byte went out proves that the job never began; after it nothing does.
-void HttpInstances::on_closed(SlotRef at, bool all_written) {
+void WorkerClient::on_closed(SlotRef at, bool all_written) {
   auto it = calls_.find(at);
   if (it == calls_.end())
     return take_from_pool(at);
@@ -415,22 +416,22 @@
   // A used connection may have been closed before it was asked for this: probes and withdrawals may
   // be repeated.
   if (std::string again = std::exchange(c.bytes, {});
-      !again.empty() && instances_.contains(c.instance)) {
-    close_pool(instances_.at(c.instance));
+      !again.empty() && workers_.contains(c.worker)) {
+    close_pool(workers_.at(c.worker));
     Call once_more;
     once_more.kind = c.kind;
-    once_more.instance = c.instance;
+    once_more.worker = c.worker;
     once_more.gives_up = c.gives_up;
     if (call(std::move(once_more), std::move(again)))
       return;
-    return report_end(c, Outcome::Unreachable, {});
+    return report_end(c, Outcome::ConnectFailed, {});
   }
   bool may_run = all_written && begun(c);
   drop_stream(c);
-  report_end(c, may_run ? Outcome::Broken : Outcome::Unreachable, {});
+  report_end(c, may_run ? Outcome::ConnectionReset : Outcome::ConnectFailed, {});
 }
 
-void HttpInstances::end(SlotRef at, Outcome outcome) {
+void WorkerClient::end(SlotRef at, Outcome outcome) {
   auto it = calls_.find(at);
   if (it == calls_.end())
     return;
@@ -446,16 +447,16 @@
   // Guards jobs that must not run twice: a machine that says nothing may have vanished, and what is
   // written to its open connections is lost without a proof. A new connection to it fails, and that
   // is one.
-  bool silent = outcome == Outcome::TimedOut || outcome == Outcome::Unreachable;
-  if (auto i = instances_.find(c.instance); silent && i != instances_.end())
+  bool silent = outcome == Outcome::TimedOut || outcome == Outcome::ConnectFailed;
+  if (auto i = workers_.find(c.worker); silent && i != workers_.end())
     close_pool(i->second);
   report_end(c, outcome, {});
 }
 
-void HttpInstances::report_end(const Call& c, Outcome outcome,
-                               const scheduling::LoadReport& report) {
+void WorkerClient::report_end(const Call& c, Outcome outcome,
+                              const scheduling::LoadReport& report) {
   if (c.kind == Kind::Probe)
-    return router_->probe_ended(c.instance, outcome, report);
+    return router_->probe_ended(c.worker, outcome, report);
   if (c.gives_up)
     tell_again(*c.gives_up);
   if (!c.attempt)
@@ -464,7 +465,7 @@
   router_->attempt_ended(*c.attempt, outcome, report);
 }
 
-void HttpInstances::drop_call(SlotRef at) {
+void WorkerClient::drop_call(SlotRef at) {
   auto it = calls_.find(at);
   if (it == calls_.end())
     return;
@@ -475,11 +476,11 @@
   calls_.erase(it);
 }
 
-// Retired well before the instance's machine would close it: a call written to a closed connection
+// Retired well before the worker's machine would close it: a call written to a closed connection
 // ends as broken, and a job that must not run twice is then lost.
-void HttpInstances::keep_or_close(SlotRef at, const std::string& instance, bool keep) {
-  auto it = instances_.find(instance);
-  if (!keep || it == instances_.end() || it->second.gone)
+void WorkerClient::keep_or_close(SlotRef at, const std::string& worker, bool keep) {
+  auto it = workers_.find(worker);
+  if (!keep || it == workers_.end() || it->second.gone)
     return on_.network.close(at);
   if (it->second.idle.size() >= kMostIdle) {  // the latest used are the likeliest to be alive
     SlotRef oldest = it->second.idle.front().connection;
@@ -491,21 +492,21 @@
     on_.network.close(at);
   });
   it->second.idle.push_back({at, retire});
-  pooled_[at] = instance;
+  pooled_[at] = worker;
 }
 
-void HttpInstances::take_from_pool(SlotRef at) {
+void WorkerClient::take_from_pool(SlotRef at) {
   auto it = pooled_.find(at);
   if (it == pooled_.end())
     return;
-  auto& idle = instances_.at(it->second).idle;
+  auto& idle = workers_.at(it->second).idle;
   auto found = std::ranges::find(idle, at, &Idle::connection);
   on_.deadlines.drop(found->retire);
   idle.erase(found);
   pooled_.erase(it);
 }
 
-void HttpInstances::close_pool(Instance& i) {
+void WorkerClient::close_pool(Worker& i) {
   for (Idle& idle : i.idle) {
     on_.deadlines.drop(idle.retire);
     pooled_.erase(idle.connection);
--- a/src/http/worker_client.h
+++ b/src/http/worker_client.h
@@ -1,4 +1,4 @@
-// The instance side over HTTP, one call at a time on a connection: each attempt on a new one,
+// The worker side over HTTP, one call at a time on a connection: each attempt on a new one,
 // withdrawals and probes, which may be repeated, on what those leave.
 #pragma once
 
@@ -9,7 +9,7 @@
 
 namespace dispatcher::http {
 
-class HttpInstances final : public transport::ConnectionHandler, public routing::InstanceSide {
+class WorkerClient final : public transport::ConnectionHandler, public routing::WorkerPort {
  public:
   struct Times {
     transport::Duration connect{1000};  // to come up
@@ -18,25 +18,25 @@
     transport::Duration probe{2000};
     bool reports = false;  // probes ask for the load
   };
-  HttpInstances(Platform on, Times times, std::optional<Streaming> streaming)
+  WorkerClient(Platform on, Times times, std::optional<Streaming> streaming)
       : on_(on), times_(times), streaming_(std::move(streaming)) {}
 
   void attach(routing::Router& router) { router_ = &router; }
   void retime(Times times) { times_ = times; }
-  void update(
-      const protocol::NameList& list);  // where the instances are; before the module hears of them
-  // After it has: what still waits for a connection to an instance that this list has closed to it
+  void update(const protocol::EndpointUpdate&
+                  list);  // where the workers are; before the scheduler hears of them
+  // After it has: what still waits for a connection to a worker that this list has closed to it
   // ends here, as never sent.
   void recall();
 
-  void submit(routing::AttemptRef attempt, const std::string& instance,
-              std::shared_ptr<const routing::Cargo> cargo, scheduling::Time ends) override;
+  void submit(routing::AttemptRef attempt, const std::string& worker,
+              std::shared_ptr<const routing::RequestPayload> cargo, scheduling::Time ends) override;
   void withdraw(routing::AttemptRef attempt) override;
   void settled(routing::AttemptRef attempt) override;
   bool begun(routing::AttemptRef attempt) const override;
-  void probe(const std::string& instance) override;
+  void probe(const std::string& worker) override;
   bool taken(routing::AttemptRef attempt) const override;
-  void withdraw_job(const std::string& instance,
+  void withdraw_job(const std::string& worker,
                     const std::string& id);  // of an attempt that is not ours
 
   void on_connected(transport::SlotRef connection) override;
@@ -49,7 +49,7 @@
     transport::SlotRef connection;
     transport::Deadlines::Handle retire;
   };
-  struct Instance {
+  struct Worker {
     std::string address;
     std::optional<scheduling::Time> online_since;
     bool gone = false;
@@ -72,14 +72,15 @@
   };
   struct Call {
     Kind kind = Kind::Submit;
-    std::string instance;
+    std::string worker;
     std::optional<routing::AttemptRef>
         attempt;  // of a submit that has neither been taken nor ended
     std::optional<routing::AttemptRef> gives_up;  // of a withdrawal that has not been written yet
     std::string bytes;  // of a call on a used connection, to be made once more
-    std::shared_ptr<const routing::Cargo> cargo;  // of a submit whose connection is not up yet...
-    scheduling::Time ends{};                      // ...and when nobody waits for it any more
-    std::string last;  // of a submit, while it is held back: its last byte
+    std::shared_ptr<const routing::RequestPayload>
+        cargo;                // of a submit whose connection is not up yet...
+    scheduling::Time ends{};  // ...and when nobody waits for it any more
+    std::string last;         // of a submit, while it is held back: its last byte
     protocol::Parser parser{protocol::Parser::Kind::Response};
     std::unique_ptr<Stream> stream;
     std::shared_ptr<streaming::Pipe> reply;  // for one that passes through
@@ -91,15 +92,15 @@
     transport::Deadlines::Handle answer;
   };
   struct Active {  // an attempt that has not ended
-    std::string instance;
+    std::string worker;
     std::string id;
-    std::optional<transport::SlotRef> connection;  // until the instance has taken it
+    std::optional<transport::SlotRef> connection;  // until the worker has taken it
     bool withdrawn = false;  // it has, and is to be told that nobody waits any more
     transport::Deadlines::Handle again =
         {};  // of a withdrawal that has to wait, or to be written again
   };
 
-  Stream upload_stream(const HttpCargo& cargo);
+  Stream upload_stream(const HttpRequestPayload& cargo);
   void begin_upload(transport::SlotRef connection);
   void pump_upload(transport::SlotRef connection);
   void commit_upload(transport::SlotRef connection, Stream& s);
@@ -126,16 +127,16 @@
   void report_end(const Call& call, scheduling::Outcome outcome,
                   const scheduling::LoadReport& report);
   void drop_call(transport::SlotRef connection);
-  void keep_or_close(transport::SlotRef connection, const std::string& instance, bool keep);
+  void keep_or_close(transport::SlotRef connection, const std::string& worker, bool keep);
   void take_from_pool(transport::SlotRef connection);
-  void close_pool(Instance& instance);
+  void close_pool(Worker& worker);
   std::optional<Active> release(routing::AttemptRef attempt);
 
   Platform on_;
   Times times_;
   std::optional<Streaming> streaming_;
   routing::Router* router_ = nullptr;
-  std::unordered_map<std::string, Instance> instances_;
+  std::unordered_map<std::string, Worker> workers_;
   std::map<transport::SlotRef, Call> calls_;
   std::map<transport::SlotRef, std::string> pooled_;  // idle connections and whose they are
   std::map<routing::AttemptRef, Active> active_;
--- a/src/http/worker_client_streams.cpp
+++ b/src/http/worker_client_streams.cpp
@@ -1,4 +1,4 @@
-// The instance side of bodies that pass through: an instance is the sink of an upload and the
+// The worker side of bodies that pass through: a worker is the sink of an upload and the
 // source of its reply.
 #include "http/worker_client.h"
 
@@ -12,7 +12,7 @@
 
 // The head has been given to the connection; the body follows once that has come up, so that
 // nothing of the body is taken by one that never does.
-HttpInstances::Stream HttpInstances::upload_stream(const HttpCargo& cargo) {
+WorkerClient::Stream WorkerClient::upload_stream(const HttpRequestPayload& cargo) {
   Stream s;
   s.length = cargo.length;
   s.upload.emplace(cargo.upload, cargo.length ? Framing::Length : Framing::Chunked);
@@ -21,7 +21,7 @@
   return s;
 }
 
-void HttpInstances::begin_upload(SlotRef at) {
+void WorkerClient::begin_upload(SlotRef at) {
   auto it = calls_.find(at);
   if (it == calls_.end() || !it->second.stream || !it->second.stream->upload)
     return;
@@ -36,14 +36,14 @@
 
 // A job begins with its last byte: the last one of the body, or of its framing, waits for the
 // commit.
-void HttpInstances::pump_upload(SlotRef at) {
+void WorkerClient::pump_upload(SlotRef at) {
   auto it = calls_.find(at);
   if (it == calls_.end() || !it->second.stream || !it->second.stream->upload ||
       !it->second.stream->up)
     return;
   Stream& s = *it->second.stream;
   s.upload->pump(on_.network, at);
-  // The instance may have closed, and the client's last bytes have been read before that has been:
+  // The worker may have closed, and the client's last bytes have been read before that has been:
   // a last byte written now would be lost without a proof. on_bytes() or on_closed() comes first.
   if (!s.sent && s.committed && s.upload->at_last() && !on_.network.unread(at)) {
     s.upload->let_last_go();
@@ -62,36 +62,36 @@
     finish_taken(at);
 }
 
-void HttpInstances::commit_upload(SlotRef at, Stream& s) {
+void WorkerClient::commit_upload(SlotRef at, Stream& s) {
   s.committed = true;
   pump_upload(at);
 }
 
 // It took the job before it had all of it; now it has, and its call-backs tell the rest.
-void HttpInstances::finish_taken(SlotRef at) {
+void WorkerClient::finish_taken(SlotRef at) {
   Call c = std::move(calls_.at(at));
   if (c.attempt)
     active_.at(*c.attempt).connection.reset();
   drop_call(at);
-  keep_or_close(at, c.instance, c.keep);
+  keep_or_close(at, c.worker, c.keep);
 }
 
 // The reply is answered with its head: from here on the attempt has ended as served, and what goes
 // wrong is told to the client by cutting it.
-void HttpInstances::begin_reply(SlotRef at, Message m) {
+void WorkerClient::begin_reply(SlotRef at, Message m) {
   Call& c = calls_.at(at);
   std::optional<AttemptRef> attempt = std::exchange(c.attempt, std::nullopt);
   std::shared_ptr<streaming::Pipe> pipe = attempt ? c.reply : nullptr;
   if (!pipe || pipe->abandoned()) {
     if (attempt) {
       release(*attempt);
-      router_->attempt_ended(*attempt, Outcome::Withdrawn, {});
+      router_->attempt_ended(*attempt, Outcome::Cancelled, {});
     }
     drop_call(at);
     return on_.network.reset(at);
   }
   release(*attempt);
-  auto answer = protocol::read_submit_answer(m, on_.words, true);
+  auto answer = protocol::parse_submit_answer(m, on_.words, true);
   if (!c.stream)
     c.stream = std::make_unique<Stream>();
   Stream& s = *c.stream;
@@ -127,7 +127,7 @@
   router_->attempt_ended(*attempt, *answer.end, answer.report, std::move(reply));
 }
 
-void HttpInstances::reply_room(SlotRef at) {
+void WorkerClient::reply_room(SlotRef at) {
   auto it = calls_.find(at);
   if (it == calls_.end() || !it->second.stream || !it->second.stream->reply)
     return;
@@ -141,7 +141,7 @@
   s.replies.wait(on_.clock.now(), room > 0);
 }
 
-void HttpInstances::on_reply(SlotRef at, std::string_view bytes) {
+void WorkerClient::on_reply(SlotRef at, std::string_view bytes) {
   Call& c = calls_.at(at);
   Stream& s = *c.stream;
   std::shared_ptr<streaming::Pipe> pipe = s.reply;
@@ -152,7 +152,7 @@
     if (pipe->appended() > kLong)
       on_.network.bulk(at, true);
   } catch (const protocol::HttpError& e) {
-    on_.log.line("instance", c.instance + ": malformed reply: " + e.what());
+    on_.log.line("instance", c.worker + ": malformed reply: " + e.what());
     return break_reply(at);
   }
   auto it = calls_.find(at);  // the client's side may have given it up meanwhile
@@ -165,18 +165,18 @@
   end_reply(at);
 }
 
-void HttpInstances::end_reply(SlotRef at) {
+void WorkerClient::end_reply(SlotRef at) {
   Call c = std::move(calls_.at(at));
   std::shared_ptr<streaming::Pipe> pipe = c.stream->reply;
   drop_stream(c);
   drop_call(at);
   on_.network.bulk(at, false);
   on_.network.hold(at, false);
-  keep_or_close(at, c.instance, c.keep);
+  keep_or_close(at, c.worker, c.keep);
   pipe->finish();
 }
 
-void HttpInstances::break_reply(SlotRef at) {
+void WorkerClient::break_reply(SlotRef at) {
   auto it = calls_.find(at);
   std::shared_ptr<streaming::Pipe> pipe = it->second.stream->reply;
   drop_call(at);
@@ -184,7 +184,7 @@
   pipe->break_off();
 }
 
-void HttpInstances::on_written(SlotRef at) {
+void WorkerClient::on_written(SlotRef at) {
   auto it = calls_.find(at);
   if (it == calls_.end())
     return;
@@ -194,7 +194,7 @@
   pump_upload(at);
 }
 
-void HttpInstances::watch_stall(SlotRef at, Stream& s) {
+void WorkerClient::watch_stall(SlotRef at, Stream& s) {
   s.stall = on_.deadlines.add(on_.clock.now() + streaming_->stall / 4, [this, at] {
     auto it = calls_.find(at);
     if (it == calls_.end() || !it->second.stream)
@@ -203,18 +203,18 @@
     s.stall = {};
     transport::Time now = on_.clock.now();
     if (s.replies.stalled(now, streaming_->stall)) {
-      on_.log.line("stream", it->second.instance + ": its reply stalled");
+      on_.log.line("stream", it->second.worker + ": its reply stalled");
       return break_reply(at);
     }
     if (s.uploads.stalled(now, streaming_->stall)) {
-      on_.log.line("stream", it->second.instance + ": it takes no more of an upload");
-      return end(at, Outcome::Unreachable);  // not the last byte: the job has not begun
+      on_.log.line("stream", it->second.worker + ": it takes no more of an upload");
+      return end(at, Outcome::ConnectFailed);  // not the last byte: the job has not begun
     }
     watch_stall(at, s);
   });
 }
 
-void HttpInstances::drop_stream(Call& c) {
+void WorkerClient::drop_stream(Call& c) {
   if (!c.stream)
     return;
   on_.deadlines.drop(c.stream->stall);
--- a/src/operations/admin_handler.cpp
+++ b/src/operations/admin_handler.cpp
@@ -60,7 +60,7 @@
   return *found;
 }
 
-Answer answer_call(const protocol::Message& call, Desk& desk) try {
+Answer answer_call(const protocol::Message& call, AdminOperations& desk) try {
   std::string path = call.target.substr(0, call.target.find('?'));
   bool health = path == "/admin/health";
   bool stats = path == "/admin/stats";
@@ -83,7 +83,7 @@
   return {e.status, std::string(e.what()) + ""};
 }
 
-std::string write_stats(const Figures& f, const std::vector<std::string>& classes,
+std::string write_stats(const Metrics& f, const std::vector<std::string>& classes,
                         const Gauges& now) {
   std::string out;
   for (std::size_t i = 0; i < classes.size(); ++i) {
--- a/src/operations/admin_handler.h
+++ b/src/operations/admin_handler.h
@@ -10,13 +10,13 @@
 namespace dispatcher::operations {
 
 // What the calls are about. The second address alone reaches it.
-class Desk {
+class AdminOperations {
  public:
-  virtual ~Desk() = default;
-  virtual bool healthy() const = 0;                      // ready to serve
-  virtual std::string stats() = 0;                       // lines of name=value
-  virtual bool cordon(const std::string& instance) = 0;  // false: no such instance is known
-  virtual bool uncordon(const std::string& instance) = 0;
+  virtual ~AdminOperations() = default;
+  virtual bool healthy() const = 0;                    // ready to serve
+  virtual std::string stats() = 0;                     // lines of name=value
+  virtual bool cordon(const std::string& worker) = 0;  // false: no such worker is known
+  virtual bool uncordon(const std::string& worker) = 0;
   virtual std::string fleet() const {
     return {};
   }  // this member's view, as JSON; empty: it keeps none
@@ -26,7 +26,7 @@
   int status = 200;
   std::string body;
 };
-Answer answer_call(const protocol::Message& call, Desk& desk);
+Answer answer_call(const protocol::Message& call, AdminOperations& desk);
 
 // The parameter `name` of a target's query, unescaped. Throws protocol::HttpError 400 where it is
 // missing, empty, given twice or badly escaped: a call that could mean two things must not be
@@ -48,8 +48,8 @@
   };
   std::optional<Fleet> fleet{};
 };
-// `classes` by the module's numbers; a nameless one is not shown.
-std::string write_stats(const Figures& figures, const std::vector<std::string>& classes,
+// `classes` by the scheduler's numbers; a nameless one is not shown.
+std::string write_stats(const Metrics& metrics, const std::vector<std::string>& classes,
                         const Gauges& now);
 
 }  // namespace dispatcher::operations
--- a/src/operations/cordon_list.cpp
+++ b/src/operations/cordon_list.cpp
@@ -2,18 +2,18 @@
 
 namespace dispatcher::operations {
 
-using protocol::Listed;
-using protocol::NameList;
+using protocol::EndpointUpdate;
+using protocol::WorkerEndpoint;
 using scheduling::Readiness;
 using scheduling::Time;
 
-NameList Roster::apply(const NameList& news) {
+EndpointUpdate CordonList::apply(const EndpointUpdate& news) {
   if (news.whole)
     listed_.clear();
   revision_ = news.revision;
-  NameList out{news.revision, news.whole, {}};
-  for (const Listed& l : news.entries) {
-    if (l.entry.readiness == Readiness::Gone) {
+  EndpointUpdate out{news.revision, news.whole, {}};
+  for (const WorkerEndpoint& l : news.entries) {
+    if (l.entry.readiness == Readiness::Removed) {
       listed_.erase(l.uid);
       out.entries.push_back(l);
       continue;
@@ -30,11 +30,11 @@
   return out;
 }
 
-// An instance is restarted while it is out, and discovery may tell of that late or not at all:
+// A worker is restarted while it is out, and discovery may tell of that late or not at all:
 // until it does, whoever comes back counts as started with the call back, and gets a cold
-// instance's budget.
-Listed Roster::seen(const Listed& l) const {
-  Listed s = l;
+// worker's budget.
+WorkerEndpoint CordonList::seen(const WorkerEndpoint& l) const {
+  WorkerEndpoint s = l;
   auto hand = by_hand_.find(l.uid);
   bool by_hand = hand != by_hand_.end();
   if (by_hand && hand->second.back)
@@ -42,28 +42,28 @@
   bool out = by_hand && !hand->second.back;
   bool cold = cold_since_ && s.entry.online_since && *s.entry.online_since > *cold_since_;
   if ((out || cold) && s.entry.readiness == Readiness::Ready)
-    s.entry.readiness = Readiness::Terminating;
+    s.entry.readiness = Readiness::Draining;
   return s;
 }
 
-NameList Roster::all() const {
-  NameList heard;
+EndpointUpdate CordonList::all() const {
+  EndpointUpdate heard;
   for (const auto& [uid, l] : listed_)
     heard.entries.push_back(seen(l));
   return heard;
 }
 
-NameList Roster::hold_cold(std::optional<Time> since) {
+EndpointUpdate CordonList::hold_cold(std::optional<Time> since) {
   cold_since_ = since;
   return all();
 }
 
-NameList Roster::inherit(std::map<std::string, ByHand> by_hand) {
+EndpointUpdate CordonList::inherit(std::map<std::string, ByHand> by_hand) {
   by_hand_ = std::move(by_hand);
   return all();
 }
 
-std::optional<NameList> Roster::cordon(const std::string& uid, Time now) {
+std::optional<EndpointUpdate> CordonList::cordon(const std::string& uid, Time now) {
   auto listed = listed_.find(uid);
   auto hand = by_hand_.find(uid);
   bool out = hand != by_hand_.end() && !hand->second.back;
@@ -71,18 +71,18 @@
     return std::nullopt;
   if (!out)
     by_hand_[uid] = {now, std::nullopt};
-  NameList heard;
+  EndpointUpdate heard;
   if (listed != listed_.end())
     heard.entries.push_back(seen(listed->second));
   return heard;
 }
 
-std::optional<NameList> Roster::uncordon(const std::string& uid, Time now) {
+std::optional<EndpointUpdate> CordonList::uncordon(const std::string& uid, Time now) {
   auto listed = listed_.find(uid);
   auto hand = by_hand_.find(uid);
   if (listed == listed_.end() && hand == by_hand_.end())
     return std::nullopt;
-  NameList heard;
+  EndpointUpdate heard;
   if (hand == by_hand_.end() || hand->second.back)
     return heard;
   hand->second.back = now;
--- a/src/operations/metrics.h
+++ b/src/operations/metrics.h
@@ -15,14 +15,14 @@
   std::uint64_t faulted = 0;    // failed
 };
 
-struct Figures {
+struct Metrics {
   Ends& of(std::size_t job_class) {
     if (job_class >= ends.size())
       ends.resize(job_class + 1);
     return ends[job_class];
   }
-  std::vector<Ends> ends;     // by the module's number of the class
-  std::uint64_t relayed = 0;  // attempts whose last byte went out to an instance
+  std::vector<Ends> ends;     // by the scheduler's number of the class
+  std::uint64_t relayed = 0;  // attempts whose last byte went out to a worker
   std::uint64_t cfg_accepted = 0;
   std::uint64_t cfg_invalid = 0;  // files taken and turned down at SIGHUP
 };
--- a/src/program/adopted_requests.cpp
+++ b/src/program/adopted_requests.cpp
@@ -14,46 +14,46 @@
 
 }  // namespace
 
-Wards::Wards(HttpFront& front, HttpInstances& instances, Platform on)
-    : front_(front), instances_(instances), on_(on) {
-  front_.on_ward_news([this](const protocol::News& news) { return hear(news); });
+AdoptedRequests::AdoptedRequests(ClientServer& front, WorkerClient& workers, Platform on)
+    : front_(front), workers_(workers), on_(on) {
+  front_.on_ward_news([this](const protocol::JobEvent& news) { return hear(news); });
 }
 
-void Wards::take(const hot_restart::Job& job, transport::SlotRef at) {
+void AdoptedRequests::take(const hot_restart::Job& job, transport::SlotRef at) {
   RequestId id = job.id();
   Ward& w = wards_[id];
   w.connection = at;
   auto it = std::ranges::find(on_.words.classes, job.name());
   w.job_class = static_cast<std::size_t>(it - on_.words.classes.begin());
-  w.instances.assign(job.uids().begin(), job.uids().end());
+  w.workers.assign(job.uids().begin(), job.uids().end());
   w.ends = on_.deadlines.add(transport::Time(transport::Duration(job.ends())) - kMargin,
                              [this, id] { answer(id, 502, kFailed); });
-  HttpFront::Parting as{{}, job.connection().unread(), job.keep_alive(), job.old()};
+  ClientServer::Parting as{{}, job.connection().unread(), job.keep_alive(), job.old()};
   front_.adopt_ward(at, as, [this, id] { end(id); });
 }
 
-bool Wards::hear(const protocol::News& news) {
+bool AdoptedRequests::hear(const protocol::JobEvent& news) {
   auto it = wards_.find(news.id);
   if (it == wards_.end())
     return false;
-  using What = protocol::News::What;
+  using What = protocol::JobEvent::What;
   Ward& w = it->second;
   if (news.what == What::Started || news.what == What::Progress)
     return true;
-  if (std::erase(w.instances, news.from) == 0)
+  if (std::erase(w.workers, news.from) == 0)
     return true;  // an attempt that was given up before
   if (news.what == What::Done) {
     answer(news.id, 200, news.result);
-  } else if (w.instances.empty()) {
+  } else if (w.workers.empty()) {
     answer(news.id, 502, kFailed);
   }
   return true;
 }
 
-void Wards::answer(RequestId id, int status, std::string_view body) {
+void AdoptedRequests::answer(RequestId id, int status, std::string_view body) {
   Ward& w = wards_.at(id);
   if (w.job_class < on_.words.classes.size()) {
-    operations::Ends& ends = on_.figures.of(w.job_class);
+    operations::Ends& ends = on_.metrics.of(w.job_class);
     ++(status == 200 ? ends.fulfilled : ends.faulted);
   }
   transport::SlotRef at = w.connection;
@@ -61,19 +61,19 @@
   front_.answer_ward(at, status, body);
 }
 
-void Wards::end(RequestId id) {
+void AdoptedRequests::end(RequestId id) {
   auto it = wards_.find(id);
   if (it == wards_.end())
     return;
   char text[17];
   std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(id));
-  for (const std::string& instance : it->second.instances)
-    instances_.withdraw_job(instance, text);
+  for (const std::string& worker : it->second.workers)
+    workers_.withdraw_job(worker, text);
   on_.deadlines.drop(it->second.ends);
   wards_.erase(it);
 }
 
-void Wards::fail_all() {
+void AdoptedRequests::fail_all() {
   while (!wards_.empty())
     answer(wards_.begin()->first, 502, kFailed);
 }
--- a/src/program/adopted_requests.h
+++ b/src/program/adopted_requests.h
@@ -1,4 +1,4 @@
-// Jobs of the old process that outlive it: an order worker has them and will call back, and their
+// Jobs of the old process that outlive it: an worker has them and will call back, and their
 // clients wait here. Nothing is left to decide of one: its result is the answer, and any other end
 // is a failure.
 #pragma once
@@ -11,13 +11,13 @@
 
 namespace dispatcher::program {
 
-using http::HttpFront;
-using http::HttpInstances;
+using http::ClientServer;
 using http::Platform;
+using http::WorkerClient;
 
-class Wards {
+class AdoptedRequests {
  public:
-  Wards(HttpFront& front, HttpInstances& instances, Platform on);
+  AdoptedRequests(ClientServer& front, WorkerClient& workers, Platform on);
 
   void take(const hot_restart::Job& job, transport::SlotRef connection);
   std::size_t size() const { return wards_.size(); }
@@ -27,15 +27,15 @@
   struct Ward {
     transport::SlotRef connection;
     std::size_t job_class = 0;
-    std::vector<std::string> instances;  // that have it
+    std::vector<std::string> workers;  // that have it
     transport::Deadlines::Handle ends;
   };
-  bool hear(const protocol::News& news);
+  bool hear(const protocol::JobEvent& news);
   void answer(scheduling::RequestId id, int status, std::string_view body);
-  void end(scheduling::RequestId id);  // and tell the instances that still have it
+  void end(scheduling::RequestId id);  // and tell the workers that still have it
 
-  HttpFront& front_;
-  HttpInstances& instances_;
+  ClientServer& front_;
+  WorkerClient& workers_;
   Platform on_;
   std::map<scheduling::RequestId, Ward> wards_;
 };
--- a/src/program/app.cpp
+++ b/src/program/app.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 using scheduling::Duration;
-using scheduling::ListKind;
+using scheduling::EndpointUpdateKind;
 
 // A client's connection holds a message being read, one being answered and its command: a quarter
 // of a megabyte at most.
@@ -23,26 +23,26 @@
     0.6;  // of that time connections are kept; the rest is for what is open
 constexpr Duration kFarewell{200};  // then, for the last bytes to be taken
 
-HttpInstances::Times instance_times(const Config& c) {
-  HttpInstances::Times t;
+WorkerClient::Times instance_times(const Config& c) {
+  WorkerClient::Times t;
   if (c.settings.connect_timeout)
     t.connect = *c.settings.connect_timeout;
   t.probe = std::max(Duration(100), 2 * t.connect);
   if (c.conn_idle.count() > 0)
     t.idle = c.conn_idle * 0.5;
-  t.reports = c.settings.reports != scheduling::ReportMode::Off;
+  t.reports = c.settings.reports != scheduling::LoadReportMode::Off;
   return t;
 }
 
-HttpNames::Options name_options(const Config& c) {
-  HttpNames::Options o;
+DiscoveryClient::Options name_options(const Config& c) {
+  DiscoveryClient::Options o;
   o.address = c.discovery;
   // A silent discovery is noticed when a wait is over. Watches that fall silent together, all those
   // of a fleet, must not be opened anew together: discovery works through calls one by one. So
   // waits differ.
   o.wait =
-      kLongestWatch * (0.5 + 0.5 * (c.settings.index + 0.5) / std::max(1, c.settings.balancers));
-  o.retries = !c.settings.must_subscribe;
+      kLongestWatch * (0.5 + 0.5 * (c.settings.index + 0.5) / std::max(1, c.settings.dispatchers));
+  o.retries = !c.settings.watch_required;
   return o;
 }
 
@@ -60,9 +60,9 @@
   return s;
 }
 
-std::vector<scheduling::WorkerEntry> entries_of(const protocol::NameList& list) {
+std::vector<scheduling::WorkerEntry> entries_of(const protocol::EndpointUpdate& list) {
   std::vector<scheduling::WorkerEntry> entries;
-  for (const protocol::Listed& l : list.entries) {
+  for (const protocol::WorkerEndpoint& l : list.entries) {
     entries.push_back(l.entry);
     entries.back().worker = l.uid;
   }
@@ -71,7 +71,7 @@
 
 }  // namespace
 
-// Clients get the larger part, yet never what instances and discovery need, nor more connections
+// Clients get the larger part, yet never what workers and discovery need, nor more connections
 // than could all be full at once in the memory there is. Of the commands there are fewer, so that
 // call-backs always find a connection.
 Shares share_descriptors(const Config& c) {
@@ -92,18 +92,19 @@
       clock_(clock),
       log_(log),
       streaming_(streaming_of(features)),
-      front_({network, deadlines, clock, config_.words, log, figures_}, streaming_),
-      instances_({network, deadlines, clock, config_.words, log, figures_}, instance_times(config_),
-                 streaming_),
-      names_({network, deadlines, clock, config_.words, log, figures_}, name_options(config_)),
+      front_({network, deadlines, clock, config_.words, log, metrics_}, streaming_),
+      workers_({network, deadlines, clock, config_.words, log, metrics_}, instance_times(config_),
+               streaming_),
+      names_({network, deadlines, clock, config_.words, log, metrics_}, name_options(config_)),
       router_(config_.settings, share_descriptors(config_).commands, clock, deadlines,
-              {front_, instances_, names_}, figures_,
+              {front_, workers_, names_}, metrics_,
               [&log](const std::string& text) { log.line("module", text); }),
-      wards_(front_, instances_, {network, deadlines, clock, config_.words, log, figures_}) {
+      wards_(front_, workers_, {network, deadlines, clock, config_.words, log, metrics_}) {
   front_.attach(router_);
-  instances_.attach(router_);
-  names_.attach(
-      [this](ListKind kind, const protocol::NameList& list) { names_changed(kind, list); });
+  workers_.attach(router_);
+  names_.attach([this](EndpointUpdateKind kind, const protocol::EndpointUpdate& list) {
+    on_endpoint_update(kind, list);
+  });
 }
 
 void App::trace() {
@@ -114,14 +115,14 @@
   names_.trace(line);
 }
 
-void App::talk_to(UdpPeers& peers) {
+void App::talk_to(FleetSocket& peers) {
   peers_ = &peers;
   peers.attach(router_);
   router_.talk_to(peers);
   tell_peers();
 }
 
-// After the module has heard of them.
+// After the scheduler has heard of them.
 void App::tell_peers() {
   if (!peers_)
     return;
@@ -132,34 +133,35 @@
 }
 
 void App::start() {
-  protocol::NameList known = roster_.apply(config_.known.value_or(protocol::NameList{0, true, {}}));
-  instances_.update(known);
+  protocol::EndpointUpdate known =
+      roster_.apply(config_.known.value_or(protocol::EndpointUpdate{0, true, {}}));
+  workers_.update(known);
   if (!known.entries.empty())
     names_.hold(known.revision);
   router_.start(entries_of(known));
-  instances_.recall();
+  workers_.recall();
   tell_peers();
   // Where lists are pushed, what the agent has counts as told from the first moment, and the list
   // of before may be old: clients come once it has answered, or cannot.
-  if (!known.entries.empty() && config_.settings.must_subscribe)
+  if (!known.entries.empty() && config_.settings.watch_required)
     front_.set_ready();
-  if (!config_.settings.must_subscribe)
+  if (!config_.settings.watch_required)
     names_.watch();
   log_.line("start", config_.name + " listens on " + config_.listen + ", knows " +
                          std::to_string(known.entries.size()) + " instances");
 }
 
-void App::names_changed(ListKind kind, const protocol::NameList& news) {
-  if (kind == ListKind::Error) {
+void App::on_endpoint_update(EndpointUpdateKind kind, const protocol::EndpointUpdate& news) {
+  if (kind == EndpointUpdateKind::Failed) {
     if (!roster_.listed().empty())
       front_.set_ready();
-    return router_.names_changed(kind, {});
+    return router_.on_endpoint_update(kind, {});
   }
-  protocol::NameList list = roster_.apply(news);
-  instances_.update(list);
+  protocol::EndpointUpdate list = roster_.apply(news);
+  workers_.update(list);
   front_.set_ready();
-  router_.names_changed(kind, entries_of(list));
-  instances_.recall();
+  router_.on_endpoint_update(kind, entries_of(list));
+  workers_.recall();
   tell_peers();
 }
 
@@ -173,43 +175,42 @@
   auto avoided = std::ranges::count_if(roster_.listed(),
                                        [this](const auto& l) { return router_.avoids(l.first); });
   return operations::write_stats(
-      figures_, config_.words.classes,
-      {router_.open_commands() + wards_.size(), roster_.listed().size(),
-       static_cast<std::size_t>(avoided), peers_ ? peers_->figures() : std::nullopt});
+      metrics_, config_.words.classes,
+      {router_.open_requests() + wards_.size(), roster_.listed().size(),
+       static_cast<std::size_t>(avoided), peers_ ? peers_->metrics() : std::nullopt});
 }
 
-void App::hear(const protocol::NameList& heard) {
+void App::hear(const protocol::EndpointUpdate& heard) {
   if (heard.entries.empty())
     return;
-  instances_.update(heard);
-  router_.names_changed(ListKind::Partial, entries_of(heard));
-  instances_.recall();
+  workers_.update(heard);
+  router_.on_endpoint_update(EndpointUpdateKind::Delta, entries_of(heard));
+  workers_.recall();
 }
 
-bool App::by_hand(const std::string& instance, bool out) {
-  auto heard =
-      out ? roster_.cordon(instance, clock_.now()) : roster_.uncordon(instance, clock_.now());
+bool App::by_hand(const std::string& worker, bool out) {
+  auto heard = out ? roster_.cordon(worker, clock_.now()) : roster_.uncordon(worker, clock_.now());
   if (heard)
     hear(*heard);
   return heard.has_value();
 }
 
-bool App::cordon(const std::string& instance) {
-  bool known = by_hand(instance, true);
+bool App::cordon(const std::string& worker) {
+  bool known = by_hand(worker, true);
   if (known && tell_by_hand_)
-    tell_by_hand_(instance, true);
+    tell_by_hand_(worker, true);
   return known;
 }
 
-bool App::uncordon(const std::string& instance) {
-  bool known = by_hand(instance, false);
+bool App::uncordon(const std::string& worker) {
+  bool known = by_hand(worker, false);
   if (known && tell_by_hand_)
-    tell_by_hand_(instance, false);
+    tell_by_hand_(worker, false);
   return known;
 }
 
-// The settings hold for the commands to come; open ones, what the module has learned, and the name
-// table stay. Only what the program was built with stays as it is until a restart.
+// The settings hold for the commands to come; open ones, what the scheduler has learned, and the
+// name table stay. Only what the program was built with stays as it is until a restart.
 void App::reload(Config next) {
   std::string kept;
   for (const auto& [field, text] : next.fixed) {
@@ -226,8 +227,8 @@
   config_.conn_idle = next.conn_idle;
   config_.file = std::move(next.file);
   if (retuned)
-    instances_.retime(instance_times(config_));
-  ++figures_.cfg_accepted;
+    workers_.retime(instance_times(config_));
+  ++metrics_.cfg_accepted;
   log_.line("reload", std::string("configuration read; ") + (retuned ? "new settings; " : "") +
                           "discovery " +
                           (moved ? "moves to " + next.discovery : "stays at " + config_.discovery) +
@@ -240,15 +241,15 @@
 void App::limit_budget(Budget to) {
   budget_ = to;
   scheduling::Settings s = config_.settings;
-  if (s.extra_window && to != Budget::Whole)
-    s.budget_free = 0;
-  if (s.extra_window && to == Budget::None)
-    s.extra_per_request = 0;
-  router_.retune(s);
+  if (s.retry_budget_window && to != Budget::Whole)
+    s.retry_budget_free = 0;
+  if (s.retry_budget_window && to == Budget::None)
+    s.retry_budget_ratio = 0;
+  router_.apply_settings(s);
 }
 
 void App::reload_failed(const std::string& why) {
-  ++figures_.cfg_invalid;
+  ++metrics_.cfg_invalid;
   log_.line("reload", "the old configuration is kept: " + why);
 }
 
@@ -257,7 +258,7 @@
     return;
   terminated_ = clock_.now();
   log_.line("stop",
-            "asked to end; " + std::to_string(router_.open_commands()) + " commands are open");
+            "asked to end; " + std::to_string(router_.open_requests()) + " commands are open");
   front_.start_draining();
   if (peers_)
     peers_->leave();
@@ -276,14 +277,14 @@
   Duration time = std::min(longest, kLongestCounted) + kBeforeKill;
   bool last_call = since >= time;
   if (last_call && give_away_) {
-    for (routing::CommandRef ref : router_.open_refs())
+    for (routing::RequestRef ref : router_.open_refs())
       give_away_(ref);
   }
   if (last_call)
     wards_.fail_all();
-  if (last_call && router_.open_commands() > 0) {
+  if (last_call && router_.open_requests() > 0) {
     log_.line("stop",
-              std::to_string(router_.open_commands()) + " commands fail: the time to end is over");
+              std::to_string(router_.open_requests()) + " commands fail: the time to end is over");
     router_.fail_all();
   }
   if (last_call) {
@@ -295,7 +296,7 @@
   if (!passing && since >= std::max(kStillComing, kServedOn * time))
     front_.close_connections();
   // Whoever comes while the last bytes are taken is still served, and told to go at the last call.
-  bool busy = router_.open_commands() > 0 || !front_.empty() || (!passing && since < kStillComing);
+  bool busy = router_.open_requests() > 0 || !front_.empty() || (!passing && since < kStillComing);
   if (busy) {
     quiet_since_.reset();
   } else if (!quiet_since_) {
--- a/src/program/app.h
+++ b/src/program/app.h
@@ -12,12 +12,12 @@
 
 namespace dispatcher::program {
 
-using fleet::UdpPeers;
-using http::HttpFront;
-using http::HttpInstances;
-using http::HttpNames;
+using fleet::FleetSocket;
+using http::ClientServer;
+using http::DiscoveryClient;
 using http::Platform;
 using http::Streaming;
+using http::WorkerClient;
 using operations::Log;
 
 struct Shares {  // of the descriptors
@@ -28,7 +28,7 @@
 };
 Shares share_descriptors(const Config& config);
 
-class App final : public operations::Desk {
+class App final : public operations::AdminOperations {
  public:
   // Features that are absent are off.
   App(Config config, const features::Features& features, transport::Network& network,
@@ -37,62 +37,63 @@
   transport::Acceptor& acceptor() { return front_; }
   void trace();  // from here on, a line in the log for each thing that happens to a command; before
                  // start()
-  void talk_to(UdpPeers& peers);  // before start()
+  void talk_to(FleetSocket& peers);  // before start()
   void start();
   void reload(Config next);  // SIGHUP; read against in_force()
   const Json::Value& in_force() const { return config_.file; }
   void reload_failed(const std::string& why);  // the same, where the file makes no sense
   void terminate();                            // SIGTERM
   // What the other process of this dispatcher, during an upgrade, has to do with.
-  HttpFront& front() { return front_; }
+  ClientServer& front() { return front_; }
   routing::Router& router() { return router_; }
-  operations::Roster& roster() { return roster_; }
-  const protocol::Vocabulary& words() const { return config_.words; }
+  operations::CordonList& roster() { return roster_; }
+  const protocol::IdentifierTables& words() const { return config_.words; }
   void serve(bool on) {
     serves_ = on;
   }  // false: another process still does, and this one's health is a no
-  void hear(const protocol::NameList& heard);           // of the roster
-  bool by_hand(const std::string& instance, bool out);  // false: unknown
+  void hear(const protocol::EndpointUpdate& heard);   // of the roster
+  bool by_hand(const std::string& worker, bool out);  // false: unknown
   // The retry budget over an upgrade, in each window of its own length: what the old process has
   // used of it is not known to the new one, which may use its free part only after a window; the
   // old one uses none any more.
   enum class Budget { Whole, NoFree, None };
   void limit_budget(Budget to);
-  Wards& wards() { return wards_; }
+  AdoptedRequests& wards() { return wards_; }
   using GiveAway =
-      std::function<void(routing::CommandRef)>;  // of what is open when the time to end is over
+      std::function<void(routing::RequestRef)>;  // of what is open when the time to end is over
   void on_last_call(GiveAway give) { give_away_ = std::move(give); }
-  UdpPeers* peers() { return peers_; }
-  using TellByHand = std::function<void(const std::string& instance, bool out)>;
+  FleetSocket* peers() { return peers_; }
+  using TellByHand = std::function<void(const std::string& worker, bool out)>;
   void on_by_hand(TellByHand tell) {
     tell_by_hand_ = std::move(tell);
   }  // calls that were taken here
 
   bool healthy() const override;
   std::string stats() override;
-  bool cordon(const std::string& instance) override;
-  bool uncordon(const std::string& instance) override;
+  bool cordon(const std::string& worker) override;
+  bool uncordon(const std::string& worker) override;
   std::string fleet() const override { return peers_ ? peers_->view_json() : std::string(); }
   bool finished() const { return finished_; }  // after terminate(): all that was taken is answered
 
  private:
   void tell_peers();
-  void names_changed(scheduling::ListKind kind, const protocol::NameList& list);
+  void on_endpoint_update(scheduling::EndpointUpdateKind kind,
+                          const protocol::EndpointUpdate& list);
   void drain();
 
   Config config_;
   transport::Deadlines& deadlines_;
   const transport::Clock& clock_;
   Log& log_;
-  operations::Figures figures_;
-  operations::Roster roster_;
+  operations::Metrics metrics_;
+  operations::CordonList roster_;
   std::optional<Streaming> streaming_;
-  HttpFront front_;
-  HttpInstances instances_;
-  HttpNames names_;
+  ClientServer front_;
+  WorkerClient workers_;
+  DiscoveryClient names_;
   routing::Router router_;
-  Wards wards_;
-  UdpPeers* peers_ = nullptr;
+  AdoptedRequests wards_;
+  FleetSocket* peers_ = nullptr;
   std::optional<transport::Time> terminated_;
   std::optional<transport::Time> quiet_since_;  // the latter: nothing is open any more
   bool finished_ = false;
--- a/src/program/config.cpp
+++ b/src/program/config.cpp
@@ -116,8 +116,8 @@
     if (name.empty() || !seen.insert(name).second)
       throw std::runtime_error("a class has no name of its own");
     positive(lane["DeadlineMs"], "DeadlineMs of " + name);
-    const Json::Value& effect = lane["Effect"];
-    if (effect != "safe" && effect != "keyed" && effect != "unsafe")
+    const Json::Value& idempotency = lane["Effect"];
+    if (idempotency != "safe" && idempotency != "keyed" && idempotency != "unsafe")
       throw std::runtime_error("Effect of " + name + " is none that is known");
   }
 }
@@ -202,7 +202,7 @@
   c.words.zones = names(s["Localities"]);
   c.words.kinds = names(s["Skus"]);
   for (const auto& k : c.settings.classes) {
-    c.words.keyed.push_back(k.effect == scheduling::Effect::Keyed);
+    c.words.keyed.push_back(k.idempotency == scheduling::Idempotency::KeyedIdempotent);
     c.words.deadlines.push_back(k.deadline);
     c.words.dropped.push_back(false);
   }
@@ -217,7 +217,7 @@
       c.peers.push_back(peer.isString() ? peer.asString() : "");
   }
   if (all["known"].isObject() && !all["known"].empty())
-    c.known = protocol::read_names(all["known"], c.words);
+    c.known = protocol::parse_endpoint_update(all["known"], c.words);
   c.file = std::move(all);
   c.file.removeMember("known");
   c.file.removeMember("seed");
@@ -228,7 +228,7 @@
 
 void keep_numbers(const Config& now, Config& next) {
   scheduling::Settings& s = next.settings;
-  protocol::Vocabulary& words = next.words;
+  protocol::IdentifierTables& words = next.words;
   auto keep = [](const std::vector<std::string>& as, std::vector<std::string>& names) {
     std::vector<std::string> kept = as;
     std::vector<std::size_t> number = numbers(kept, names);
@@ -263,7 +263,7 @@
   words.keyed.clear();
   words.deadlines.clear();
   for (const auto& c : s.classes) {
-    words.keyed.push_back(c.effect == scheduling::Effect::Keyed);
+    words.keyed.push_back(c.idempotency == scheduling::Idempotency::KeyedIdempotent);
     words.deadlines.push_back(c.deadline);
   }
 }
--- a/src/program/config.h
+++ b/src/program/config.h
@@ -20,8 +20,8 @@
   std::size_t most_open = 0;  // commands; 0: the settings name no limit
   scheduling::Duration conn_idle{0};
   scheduling::Settings settings;
-  protocol::Vocabulary words;
-  std::optional<protocol::NameList> known;
+  protocol::IdentifierTables words;
+  std::optional<protocol::EndpointUpdate> known;
   bool may_talk = false;           // with other dispatchers
   std::string peer_listen;         // empty: dispatchers do not talk with each other
   std::vector<std::string> peers;  // their addresses, by the dispatchers' numbers
--- a/src/program/hot_restart.cpp
+++ b/src/program/hot_restart.cpp
@@ -4,9 +4,9 @@
 
 namespace dispatcher::program {
 
-using hot_restart::Elder;
-using hot_restart::Heir;
+using hot_restart::IncomingProcess;
 using hot_restart::Message;
+using hot_restart::OutgoingProcess;
 using scheduling::Duration;
 using scheduling::Readiness;
 using scheduling::Time;
@@ -34,7 +34,7 @@
   return m;
 }
 
-void put_by_hand(const operations::Roster& roster,
+void put_by_hand(const operations::CordonList& roster,
                  google::protobuf::RepeatedPtrField<hot_restart::ByHand>& out) {
   for (const auto& [uid, hand] : roster.by_hand()) {
     hot_restart::ByHand& b = *out.Add();
@@ -57,8 +57,8 @@
 
 }  // namespace
 
-std::optional<Upgrade::Found> Upgrade::ask(const std::string& path, const hot_restart::Who& self,
-                                           Log& log) {
+std::optional<HotRestart::Found> HotRestart::ask(const std::string& path,
+                                                 const hot_restart::Who& self, Log& log) {
   Found found;
   found.socket = transport::connect_local(path);
   if (!found.socket)
@@ -79,18 +79,18 @@
   return found;
 }
 
-protocol::NameList Upgrade::list_of(const hot_restart::Welcome& welcome,
-                                    const protocol::Vocabulary& words) {
-  protocol::NameList list{welcome.revision(), true, {}};
+protocol::EndpointUpdate HotRestart::list_of(const hot_restart::Welcome& welcome,
+                                             const protocol::IdentifierTables& words) {
+  protocol::EndpointUpdate list{welcome.revision(), true, {}};
   for (const hot_restart::Entry& e : welcome.entries()) {
-    protocol::Listed l;
+    protocol::WorkerEndpoint l;
     l.uid = e.uid();
     l.address = e.address();
     l.entry.zone = number_of(words.zones, e.zone());
     l.entry.kind = number_of(words.kinds, e.kind());
     l.entry.cell = e.cell();
     l.entry.size = e.size();
-    l.entry.readiness = e.ready() ? Readiness::Ready : Readiness::Terminating;
+    l.entry.readiness = e.ready() ? Readiness::Ready : Readiness::Draining;
     if (e.has_online_since())
       l.entry.online_since = Time(Duration(e.online_since()));
     if (!l.uid.empty() && !l.address.empty())
@@ -99,8 +99,9 @@
   return list;
 }
 
-Upgrade::Upgrade(GMainContext* context, Options options, App& app, transport::GioNetwork& network,
-                 transport::Deadlines& deadlines, const transport::Clock& clock, Log& log)
+HotRestart::HotRestart(GMainContext* context, Options options, App& app,
+                       transport::GioNetwork& network, transport::Deadlines& deadlines,
+                       const transport::Clock& clock, Log& log)
     : context_(context),
       options_(std::move(options)),
       app_(app),
@@ -128,7 +129,7 @@
 
 // ---- The new process ----
 
-void Upgrade::start(std::optional<Found> found) {
+void HotRestart::start(std::optional<Found> found) {
   if (!found)
     return act(heir_.nobody());
   if (found->refused)
@@ -143,7 +144,7 @@
   act(heir_.welcome());
 }
 
-void Upgrade::link_old(transport::ObjectPtr<GSocket> socket) {
+void HotRestart::link_old(transport::ObjectPtr<GSocket> socket) {
   old_ = std::make_unique<transport::LocalLink>(
       context_, std::move(socket), [this](Packet p) { from_old(std::move(p)); },
       [this] {
@@ -152,7 +153,7 @@
       });
 }
 
-void Upgrade::from_old(Packet packet) {
+void HotRestart::from_old(Packet packet) {
   Message m;
   if (!m.ParseFromString(packet.bytes))
     return act(heir_.nonsense());
@@ -181,31 +182,31 @@
   }
 }
 
-void Upgrade::act(Heir::Do what) {
+void HotRestart::act(IncomingProcess::Do what) {
   Message ready;
   ready.mutable_ready();
   switch (what) {
-    case Heir::Do::Nothing:
+    case IncomingProcess::Do::Nothing:
       return;
-    case Heir::Do::SayReady:
+    case IncomingProcess::Do::SayReady:
       return tell(old_, ready);
-    case Heir::Do::Serve:
+    case IncomingProcess::Do::Serve:
       return serve();
-    case Heir::Do::ServeAlone:
+    case IncomingProcess::Do::ServeAlone:
       app_.router().elsewhere({});
       return serve();
-    case Heir::Do::HangUp:
+    case IncomingProcess::Do::HangUp:
       log_.line("upgrade", "the other process said what makes no sense");
       old_->hang_up();
       return act(heir_.ended());
-    case Heir::Do::AskAgain:
+    case IncomingProcess::Do::AskAgain:
       deadlines_.add(clock_.now() + kAskAgain, [this] { ask_again(); });
       return;
   }
 }
 
 // It may have hung up and live: only where nobody listens any more is it dead.
-void Upgrade::ask_again() {
+void HotRestart::ask_again() {
   auto socket = transport::connect_local(options_.path);
   if (!socket)
     return act(heir_.nobody());
@@ -214,7 +215,7 @@
 }
 
 // In the same turn as its health becomes a yes.
-void Upgrade::serve() {
+void HotRestart::serve() {
   if (listener_)
     network_.share_listener(std::move(listener_), app_.acceptor());
   if (!network_.listener())
@@ -227,7 +228,7 @@
   be_found();
 }
 
-void Upgrade::be_found() {
+void HotRestart::be_found() {
   try {
     found_here_.reset();
     found_here_ = std::make_unique<transport::LocalListener>(
@@ -238,9 +239,9 @@
   }
 }
 
-// Guards cold instances: what the old process has sent there counts for one fall span, and is not
+// Guards cold workers: what the old process has sent there counts for one fall span, and is not
 // known here.
-void Upgrade::take_yours(const hot_restart::Yours& yours, Packet packet) {
+void HotRestart::take_yours(const hot_restart::Yours& yours, Packet packet) {
   if (!packet.descriptors.empty())
     inherited_.socket = std::move(packet.descriptors[0]);
   inherited_.incarnation = yours.incarnation();
@@ -248,8 +249,8 @@
     if (auto who = fleet::parse_endpoint(f.address()); who && f.state() >= 1 && f.state() <= 4)
       inherited_.known.push_back({*who, static_cast<fleet::State>(f.state()), f.incarnation()});
   }
-  Heir::Do what = heir_.yours();
-  if (what != Heir::Do::Serve)
+  IncomingProcess::Do what = heir_.yours();
+  if (what != IncomingProcess::Do::Serve)
     return act(what);
   app_.router().elsewhere({yours.ids().begin(), yours.ids().end()});
   inherit(yours.by_hand());
@@ -257,12 +258,12 @@
   if (options_.budget_window.count() > 0) {
     app_.limit_budget(App::Budget::NoFree);
     deadlines_.add(clock_.now() + options_.budget_window, [this] {
-      if (elder_.state() != Elder::State::Yielded)
+      if (elder_.state() != OutgoingProcess::State::Yielded)
         app_.limit_budget(App::Budget::Whole);
     });
   }
-  deadlines_.add(clock_.now() + options_.fall_span, [this] {
-    if (elder_.state() != Elder::State::Yielded)
+  deadlines_.add(clock_.now() + options_.overload_window, [this] {
+    if (elder_.state() != OutgoingProcess::State::Yielded)
       app_.hear(app_.roster().hold_cold(std::nullopt));
   });
   std::size_t theirs = yours.accepted();
@@ -274,8 +275,8 @@
   act(what);
 }
 
-void Upgrade::take_connection(const hot_restart::Connection& connection, Packet packet) {
-  if (packet.descriptors.size() != 1 || heir_.state() != Heir::State::Serving)
+void HotRestart::take_connection(const hot_restart::Connection& connection, Packet packet) {
+  if (packet.descriptors.size() != 1 || heir_.state() != IncomingProcess::State::Serving)
     return act(heir_.nonsense());
   accepted_limit_ = std::min(accepted_limit_ + 1, options_.shares.accepted);
   network_.limit({accepted_limit_, options_.shares.connected / 2});
@@ -283,26 +284,26 @@
     app_.front().adopt(*at, connection.unread(), connection.used());
 }
 
-void Upgrade::take_job(const hot_restart::Job& job, Packet packet) {
-  if (packet.descriptors.size() != 1 || heir_.state() != Heir::State::Serving)
+void HotRestart::take_job(const hot_restart::Job& job, Packet packet) {
+  if (packet.descriptors.size() != 1 || heir_.state() != IncomingProcess::State::Serving)
     return act(heir_.nonsense());
   if (auto at = network_.adopt(std::move(packet.descriptors[0])))
     app_.wards().take(job, *at);
 }
 
-void Upgrade::old_is_gone() {
+void HotRestart::old_is_gone() {
   for (auto it = asked_.begin(); it != asked_.end();)
     answered((it++)->first, false);
-  if (heir_.state() != Heir::State::Serving)
+  if (heir_.state() != IncomingProcess::State::Serving)
     return;
   accepted_limit_ = options_.shares.accepted;
   network_.limit({options_.shares.accepted, options_.shares.connected});
 }
 
-void Upgrade::inherit(const google::protobuf::RepeatedPtrField<hot_restart::ByHand>& by_hand) {
-  std::map<std::string, operations::Roster::ByHand> hands;
+void HotRestart::inherit(const google::protobuf::RepeatedPtrField<hot_restart::ByHand>& by_hand) {
+  std::map<std::string, operations::CordonList::ByHand> hands;
   for (const hot_restart::ByHand& b : by_hand) {
-    operations::Roster::ByHand& hand = hands[b.uid()];
+    operations::CordonList::ByHand& hand = hands[b.uid()];
     hand.since = Time(Duration(b.since()));
     if (b.has_back())
       hand.back = Time(Duration(b.back()));
@@ -312,7 +313,7 @@
 
 // ---- The old process ----
 
-void Upgrade::came(transport::ObjectPtr<GSocket> socket) {
+void HotRestart::came(transport::ObjectPtr<GSocket> socket) {
   if (!elder_.free())
     return;  // one at a time; it asks again
   new_ = std::make_unique<transport::LocalLink>(
@@ -320,7 +321,7 @@
       [this] { act(elder_.ended()); });
 }
 
-void Upgrade::from_new(Packet packet) {
+void HotRestart::from_new(Packet packet) {
   Message m;
   if (!m.ParseFromString(packet.bytes))
     return act(elder_.nonsense());
@@ -339,29 +340,29 @@
   }
 }
 
-void Upgrade::act(Elder::Do what) {
+void HotRestart::act(OutgoingProcess::Do what) {
   Message m;
   switch (what) {
-    case Elder::Do::Nothing:
+    case OutgoingProcess::Do::Nothing:
       return;
-    case Elder::Do::Welcome:
+    case OutgoingProcess::Do::Welcome:
       return welcome();
-    case Elder::Do::Yield:
+    case OutgoingProcess::Do::Yield:
       return yield();
-    case Elder::Do::TakeBack:
+    case OutgoingProcess::Do::TakeBack:
       return take_back();
-    case Elder::Do::Refuse:
+    case OutgoingProcess::Do::Refuse:
       m.mutable_refusal()->set_why("another version, or another dispatcher");
       tell(new_, m);
       log_.line("upgrade", "a process of another version or dispatcher was turned away");
       return;
-    case Elder::Do::HangUp:
+    case OutgoingProcess::Do::HangUp:
       log_.line("upgrade", "a newcomer said what makes no sense");
       return new_->hang_up();
   }
 }
 
-void Upgrade::welcome() {
+void HotRestart::welcome() {
   Message m;
   hot_restart::Welcome& w = *m.mutable_welcome();
   w.set_wall_to_steady(options_.wall_to_steady.count());
@@ -385,7 +386,7 @@
   log_.line("upgrade", "a newcomer is welcome");
 }
 
-void Upgrade::yield() {
+void HotRestart::yield() {
   network_.accept_from_now_on(false);
   network_.limit({options_.shares.accepted, options_.shares.connected / 2});
   Message m;
@@ -399,7 +400,7 @@
     app_.peers()->speak(false);
     datagrams.push_back(app_.peers()->descriptor());
   }
-  if (const fleet::View* view = app_.peers() ? app_.peers()->view() : nullptr) {
+  if (const fleet::MembershipView* view = app_.peers() ? app_.peers()->view() : nullptr) {
     y.set_incarnation(view->incarnation());
     for (const auto& [who, member] : view->members()) {
       hot_restart::FleetMember& f = *y.add_members();
@@ -411,9 +412,9 @@
   tell(new_, m, std::move(datagrams));
   if (options_.budget_window.count() > 0)
     app_.limit_budget(App::Budget::None);
-  app_.on_last_call([this](routing::CommandRef ref) { give(ref); });
+  app_.on_last_call([this](routing::RequestRef ref) { give(ref); });
   app_.hear(app_.roster().hold_cold(clock_.now() - options_.ramp));
-  log_.line("upgrade", "yields to the newcomer; " + std::to_string(app_.router().open_commands()) +
+  log_.line("upgrade", "yields to the newcomer; " + std::to_string(app_.router().open_requests()) +
                            " commands are open here");
   app_.front().pass_on([this](transport::Descriptor connection, std::string unread, bool used) {
     Message c;
@@ -424,13 +425,13 @@
   });
 }
 
-// What an order worker has taken needs nobody who knows how it came there: the new process waits
+// What an worker has taken needs nobody who knows how it came there: the new process waits
 // for its end.
-void Upgrade::give(routing::CommandRef ref) {
+void HotRestart::give(routing::RequestRef ref) {
   std::optional<routing::Router::Given> given = app_.router().look_at(ref);
   if (!given || !new_ || !new_->up())
     return;
-  std::optional<HttpFront::Parting> parting = app_.front().part_with(ref);
+  std::optional<ClientServer::Parting> parting = app_.front().part_with(ref);
   if (!parting)
     return;
   app_.router().give_away(ref);
@@ -440,7 +441,7 @@
   job.set_id(given->id);
   job.set_name(app_.words().classes.at(given->job_class));
   job.set_ends(ms(given->ends));
-  for (const std::string& uid : given->instances)
+  for (const std::string& uid : given->workers)
     job.add_uids(uid);
   job.mutable_connection()->set_unread(std::move(parting->unread));
   job.set_keep_alive(parting->keep_alive);
@@ -450,7 +451,7 @@
   tell(new_, m, std::move(one));
 }
 
-void Upgrade::take_back() {
+void HotRestart::take_back() {
   log_.line("upgrade", "the newcomer is gone; takes connections again");
   for (auto it = asked_.begin(); it != asked_.end();)
     answered((it++)->first, false);
@@ -468,7 +469,7 @@
 
 // ---- Both ----
 
-void Upgrade::common(Link& from, const Message& m) {
+void HotRestart::common(Link& from, const Message& m) {
   if (m.has_taken())
     return app_.router().elsewhere({m.taken().id()});
   if (m.has_news_taken())
@@ -479,7 +480,7 @@
   }
   bool again = false;
   try {
-    protocol::News news = protocol::read_news(m.news().body(), app_.words());
+    protocol::JobEvent news = protocol::parse_job_event(m.news().body(), app_.words());
     // Guards the result of a job that crossed with its call-back: neither process would know it
     // then.
     again = given_.contains(news.id);
@@ -494,7 +495,7 @@
   tell(from, taken);
 }
 
-bool Upgrade::forward(std::string_view body, std::function<void(bool)> told) {
+bool HotRestart::forward(std::string_view body, std::function<void(bool)> told) {
   Waiting w{0, std::move(told)};
   for (const Link* link : {&old_, &new_})
     w.answers += *link && (*link)->up() ? 1 : 0;
@@ -508,7 +509,7 @@
   return true;
 }
 
-void Upgrade::answered(std::uint64_t number, bool taken) {
+void HotRestart::answered(std::uint64_t number, bool taken) {
   auto it = asked_.find(number);
   if (it == asked_.end() || (taken && --it->second.answers > 0))
     return;
@@ -517,12 +518,13 @@
   told(taken);
 }
 
-void Upgrade::tell(Link& link, const Message& m, std::vector<transport::Descriptor> descriptors) {
+void HotRestart::tell(Link& link, const Message& m,
+                      std::vector<transport::Descriptor> descriptors) {
   if (link && link->up())
     link->send({m.SerializeAsString(), std::move(descriptors)});
 }
 
-void Upgrade::tell_all(const Message& m, const Link* but) {
+void HotRestart::tell_all(const Message& m, const Link* but) {
   for (Link* link : {&old_, &new_}) {
     if (link != but)
       tell(*link, m);
--- a/src/program/hot_restart.h
+++ b/src/program/hot_restart.h
@@ -1,6 +1,6 @@
 // The other process of this dispatcher during an upgrade: the one that was here before, or the one
-// that comes after. Who takes new jobs is decided by hot_restart::Elder and hot_restart::Heir; this
-// carries it out over local sockets.
+// that comes after. Who takes new jobs is decided by hot_restart::OutgoingProcess and
+// hot_restart::IncomingProcess; this carries it out over local sockets.
 #pragma once
 
 #include <map>
@@ -20,10 +20,10 @@
 struct Inherited {
   transport::Descriptor socket;
   std::uint32_t incarnation = 0;
-  std::vector<fleet::View::Entry> known;
+  std::vector<fleet::MembershipView::Entry> known;
 };
 
-class Upgrade {
+class HotRestart {
  public:
   struct Found {  // a process that was here before
     transport::ObjectPtr<GSocket> socket;
@@ -34,23 +34,23 @@
   };
   // Before there is a loop; nothing: nobody listens at the path. Waits a second at most.
   static std::optional<Found> ask(const std::string& path, const hot_restart::Who& self, Log& log);
-  static protocol::NameList list_of(const hot_restart::Welcome& welcome,
-                                    const protocol::Vocabulary& words);
+  static protocol::EndpointUpdate list_of(const hot_restart::Welcome& welcome,
+                                          const protocol::IdentifierTables& words);
 
   struct Options {
     std::string path;
     hot_restart::Who self;
     Shares shares;
     transport::Duration wall_to_steady{0};
-    transport::Duration fall_span{0};
-    transport::Duration ramp{0};           // of cold instances
+    transport::Duration overload_window{0};
+    transport::Duration ramp{0};           // of cold workers
     transport::Duration budget_window{0};  // of the retry budget; 0: there is none
     // Speaks with the other dispatchers from now on; with the other process's socket, where it had
     // one.
     std::function<void(Inherited)> talk;
   };
-  Upgrade(GMainContext* context, Options options, App& app, transport::GioNetwork& network,
-          transport::Deadlines& deadlines, const transport::Clock& clock, Log& log);
+  HotRestart(GMainContext* context, Options options, App& app, transport::GioNetwork& network,
+             transport::Deadlines& deadlines, const transport::Clock& clock, Log& log);
 
   // With the one that was found, or alone. Throws std::runtime_error where the clients' address
   // cannot be had.
@@ -71,11 +71,11 @@
   void from_old(transport::Packet packet);
   void from_new(transport::Packet packet);
   void common(Link& from, const hot_restart::Message& message);
-  void act(hot_restart::Heir::Do what);
-  void act(hot_restart::Elder::Do what);
+  void act(hot_restart::IncomingProcess::Do what);
+  void act(hot_restart::OutgoingProcess::Do what);
   void take_yours(const hot_restart::Yours& yours, transport::Packet packet);
   void take_job(const hot_restart::Job& job, transport::Packet packet);
-  void give(routing::CommandRef command);
+  void give(routing::RequestRef command);
   void take_connection(const hot_restart::Connection& connection, transport::Packet packet);
   void yield();
   void take_back();
@@ -95,8 +95,8 @@
   transport::Deadlines& deadlines_;
   const transport::Clock& clock_;
   Log& log_;
-  hot_restart::Heir heir_;
-  hot_restart::Elder elder_;
+  hot_restart::IncomingProcess heir_;
+  hot_restart::OutgoingProcess elder_;
   Link old_;
   Link new_;
   transport::Descriptor listener_;  // of the old one, until we take from it
--- a/src/program/main.cpp
+++ b/src/program/main.cpp
@@ -100,10 +100,10 @@
   std::string folder = environment("TMPDIR");
   std::string local = config.ops.empty() || folder.empty() ? "" : folder + kLocal;
   const hot_restart::Who self{config.name, config.listen};
-  std::optional<program::Upgrade::Found> found;
+  std::optional<program::HotRestart::Found> found;
   if (!local.empty()) {
     try {
-      found = program::Upgrade::ask(local, self, log);
+      found = program::HotRestart::ask(local, self, log);
     } catch (const std::runtime_error& e) {
       log.line("upgrade", std::string("no other process can take over: ") + e.what());
       local.clear();
@@ -112,7 +112,7 @@
   if (found && found->welcome) {
     to_steady = transport::Duration(found->welcome->wall_to_steady());
     config = read(program::Occasion::Start);
-    config.known = program::Upgrade::list_of(*found->welcome, config.words);
+    config.known = program::HotRestart::list_of(*found->welcome, config.words);
   }
   program::Shares shares = program::share_descriptors(config);
   auto complain = [&log](const std::string& text) {
@@ -146,12 +146,12 @@
   mask_signal(SIG_UNBLOCK, SIGHUP);
   if (trace)
     app.trace();
-  std::optional<fleet::UdpPeers> peers;
+  std::optional<fleet::FleetSocket> peers;
   auto talk = [&](program::Inherited from) {
     if (config.peer_listen.empty() || peers)
       return;
     try {
-      fleet::UdpPeers::Options options;
+      fleet::FleetSocket::Options options;
       options.listen = config.peer_listen;
       options.peers = config.peers;
       options.self = config.settings.index;
@@ -175,22 +175,22 @@
   };
   if (local.empty())
     talk({});  // before the start: what it knows from the beginning is told
-  std::optional<http::OpsFront> ops;
+  std::optional<http::AdminServer> ops;
   if (operators) {
     ops.emplace(*operators, deadlines, clock, log, app);
     operators->listen(config.ops, *ops);
   }
   app.start();
-  std::optional<program::Upgrade> upgrade;
+  std::optional<program::HotRestart> upgrade;
   if (local.empty()) {
     network.listen(config.listen, app.acceptor(), !config.ops.empty());
   } else {
-    upgrade.emplace(
-        loop.context(),
-        program::Upgrade::Options{
-            local, self, shares, to_steady, config.settings.fall_span, config.settings.ramp_time,
-            config.settings.extra_window.value_or(transport::Duration(0)), talk},
-        app, network, deadlines, clock, log);
+    upgrade.emplace(loop.context(),
+                    program::HotRestart::Options{
+                        local, self, shares, to_steady, config.settings.overload_window,
+                        config.settings.slow_start_duration,
+                        config.settings.retry_budget_window.value_or(transport::Duration(0)), talk},
+                    app, network, deadlines, clock, log);
     upgrade->start(std::move(found));
   }
   while (!app.finished())
--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -196,7 +196,7 @@
     if (last == first || !is_token(message_.method))
       throw HttpError(400, "malformed request line");
     message_.target = line.substr(first + 1, last - first - 1);
-    // It passes on to instances as it is: what they could not read must not reach them.
+    // It passes on to workers as it is: what they could not read must not reach them.
     bool plain = std::ranges::all_of(message_.target, [](char c) { return c > ' ' && c < 127; });
     if (!message_.target.starts_with('/') || !plain)
       throw HttpError(400, "malformed request target");
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-scheduling::RequestId read_id(std::string_view text) {
+scheduling::RequestId parse_request_id(std::string_view text) {
   scheduling::RequestId id = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), id, 16);
   bool lower = std::ranges::none_of(
@@ -86,8 +86,8 @@
   return name;
 }
 
-// A report that makes no sense is dropped whole: the module sees none rather than a wrong one.
-LoadReport report_of(const std::string& pairs, const Vocabulary& words) {
+// A report that makes no sense is dropped whole: the scheduler sees none rather than a wrong one.
+LoadReport report_of(const std::string& pairs, const IdentifierTables& words) {
   try {
     return settings::read_report(pairs, words.columns);
   } catch (const settings::Malformed&) {
@@ -103,7 +103,7 @@
   pairs.append(report_word(name)).append(":").append(std::to_string(value));
 }
 
-LoadReport read_load_text(std::string_view text, const Vocabulary& words) {
+LoadReport read_load_text(std::string_view text, const IdentifierTables& words) {
   try {
     if (text.starts_with("TEXT"))
       text.remove_prefix(4);
@@ -117,7 +117,7 @@
   }
 }
 
-LoadReport read_load_json(const Json::Value& load, const Vocabulary& words) {
+LoadReport read_load_json(const Json::Value& load, const IdentifierTables& words) {
   if (!load.isObject())
     return {};
   try {
@@ -162,15 +162,15 @@
   return object[name].asString();
 }
 
-// ---- Service clients ----
+// ---- Clients ----
 
-bool is_command_path(std::string_view target) {
+bool is_request_path(std::string_view target) {
   std::string_view path = target.substr(0, target.find('?'));
   return path == "/api" || path.starts_with("/api/");
 }
 
-ClientCommand read_command(Message&& m, const Vocabulary& words) {
-  ClientCommand c;
+ClientRequest parse_client_request(Message&& m, const IdentifierTables& words) {
+  ClientRequest c;
   // Said twice it could mean either; nobody may later read it the other way.
   for (const char* name :
        {"X-Correlation-Id", "X-Service-Class", "X-Account", "X-Time-Left-Ms", "Idempotency-Key"}) {
@@ -179,7 +179,7 @@
       throw Refused(std::string("repeated ") + name);
   }
   c.id = m.header("X-Correlation-Id");
-  c.request.id = read_id(c.id);
+  c.request.id = parse_request_id(c.id);
   auto job_class = index_of(words.classes, m.header("X-Service-Class"));
   if (!job_class || words.dropped[*job_class])
     throw Refused("unknown X-Service-Class");
@@ -192,9 +192,9 @@
       m.header("X-Time-Left-Ms");  // whole: "1e9" is a number elsewhere, but not here
   if (left.find_first_not_of("0123456789") != std::string_view::npos)
     throw Refused("bad X-Time-Left-Ms");
-  c.request.patience = Duration(need_number(left, 0, kMostMs, "X-Time-Left-Ms"));
+  c.request.timeout = Duration(need_number(left, 0, kMostMs, "X-Time-Left-Ms"));
   if (m.has("X-Weight-Hint")) {
-    c.request.hint =
+    c.request.cost_hint =
         Duration(need_number(m.header("X-Weight-Hint"), 0, kMostMs * 1000, "X-Weight-Hint") / 1000);
   }
   each_pair(m.header("X-Facts"), [&](std::string_view name, std::string_view value) {
@@ -204,7 +204,7 @@
       c.request.memory = need_number(value, 0, 1e6, "memory");
   });
   c.key = m.header("Idempotency-Key");
-  // Without its key no instance could tell a repeat, and the module repeats keyed work.
+  // Without its key no worker could tell a repeat, and the scheduler repeats keyed work.
   if (words.keyed[*job_class] && c.key.empty())
     throw Refused("this class needs an Idempotency-Key");
   c.target = std::move(m.target);
@@ -212,11 +212,11 @@
   return c;
 }
 
-// ---- Instances ----
+// ---- Workers ----
 
 namespace {
 
-Headers submit_headers(const ClientCommand& c, const std::string& address, Duration time_left) {
+Headers submit_headers(const ClientRequest& c, const std::string& address, Duration time_left) {
   auto left = static_cast<std::int64_t>(std::max(0.0, std::floor(time_left.count())));
   Headers headers{
       {"Host", address}, {"X-Correlation-Id", c.id}, {"X-Time-Left-Ms", std::to_string(left)}};
@@ -227,11 +227,11 @@
 
 }  // namespace
 
-std::string write_submit(const ClientCommand& c, const std::string& address, Duration time_left) {
+std::string write_submit(const ClientRequest& c, const std::string& address, Duration time_left) {
   return write_request("POST", c.target, submit_headers(c, address, time_left), c.body);
 }
 
-std::string write_submit_head(const ClientCommand& c, const std::string& address,
+std::string write_submit_head(const ClientRequest& c, const std::string& address,
                               Duration time_left, std::optional<std::uint64_t> length) {
   Headers headers = submit_headers(c, address, time_left);
   headers.insert(headers.end(), c.fields.begin(), c.fields.end());
@@ -253,29 +253,29 @@
   return kept;
 }
 
-std::string write_withdraw(const std::string& id, const std::string& address) {
+std::string write_cancellation(const std::string& id, const std::string& address) {
   return write_request("DELETE", "/jobs/" + id, {{"Host", address}}, {});
 }
 
-std::string write_probe(bool with_report, const std::string& address) {
+std::string write_health_check(bool with_report, const std::string& address) {
   return write_request("GET", with_report ? "/status/load" : "/health", {{"Host", address}}, {});
 }
 
-InstanceAnswer read_submit_answer(const Message& m, const Vocabulary& words, bool replies) {
-  InstanceAnswer a;
+WorkerAnswer parse_submit_answer(const Message& m, const IdentifierTables& words, bool replies) {
+  WorkerAnswer a;
   if (m.status == 202)
     return a;
   a.end = replies && m.status == 200 ? Outcome::Success
-          : never_ran(m)             ? Outcome::Overloaded
+          : never_ran(m)             ? Outcome::Rejected
                                      : Outcome::Failure;
   a.report = read_load_text(m.header("X-Backend-Load"), words);
   return a;
 }
 
-InstanceAnswer read_probe_answer(const Message& m, const Vocabulary& words) {
-  InstanceAnswer a;
+WorkerAnswer parse_health_check_answer(const Message& m, const IdentifierTables& words) {
+  WorkerAnswer a;
   a.end = m.status == 200   ? Outcome::Success
-          : m.status == 503 ? Outcome::Overloaded
+          : m.status == 503 ? Outcome::Rejected
                             : Outcome::Failure;
   std::string_view header = m.header("X-Backend-Load");
   if (!header.empty()) {
@@ -283,7 +283,7 @@
   } else if (m.body.starts_with('{')) {
     try {
       a.report = read_load_json(parse_json(m.body), words);
-    } catch (const Refused&) {  // a probe that is answered still tells that the instance lives
+    } catch (const Refused&) {  // a probe that is answered still tells that the worker lives
     }
   } else {
     a.report = read_load_text(m.body, words);
@@ -291,13 +291,13 @@
   return a;
 }
 
-News read_news(std::string_view body, const Vocabulary& words) {
+JobEvent parse_job_event(std::string_view body, const IdentifierTables& words) {
   Json::Value v = parse_json(body);
-  News n;
-  n.id = read_id(json_text(v, "id"));
+  JobEvent n;
+  n.id = parse_request_id(json_text(v, "id"));
   n.from = json_text(v, "from");
   std::string state = json_text(v, "state");
-  using What = News::What;
+  using What = JobEvent::What;
   if (state == "started") {
     n.what = What::Started;
   } else if (state == "running") {
@@ -318,23 +318,23 @@
   return n;
 }
 
-// ---- The name table ----
+// ---- The endpoint list ----
 
-NameList read_names(const Json::Value& v, const Vocabulary& words) {
+EndpointUpdate parse_endpoint_update(const Json::Value& v, const IdentifierTables& words) {
   if (!v.isObject() || !v["rev"].isInt64() || !v["all"].isBool() || !v["targets"].isArray())
     throw Refused("a list needs rev, all and targets");
-  NameList list;
+  EndpointUpdate list;
   list.revision = v["rev"].asInt64();
   list.whole = v["all"].asBool();
   for (const Json::Value& t : v["targets"]) {
-    Listed l;
+    WorkerEndpoint l;
     l.uid = json_text(t, "uid");
     std::string state = json_text(t, "state");
     using scheduling::Readiness;
     // A state not named here is one that takes no new work.
     l.entry.readiness = state == "up"        ? Readiness::Ready
-                        : state == "removed" ? Readiness::Gone
-                                             : Readiness::Terminating;
+                        : state == "removed" ? Readiness::Removed
+                                             : Readiness::Draining;
     auto text = [&](const char* name) {
       return t[name].isString() ? t[name].asString() : std::string();
     };
--- a/src/routing/ports.h
+++ b/src/routing/ports.h
@@ -1,5 +1,5 @@
 // The three narrow interfaces between the decisions and whatever protocol carries them. Nothing
-// here knows HTTP: another protocol for service clients, instances or the name table is another
+// here knows HTTP: another protocol for clients, workers or the endpoint list is another
 // class behind one of these.
 #pragma once
 
@@ -17,18 +17,18 @@
 
 namespace dispatcher::routing {
 
-using CommandRef = transport::SlotRef;
+using RequestRef = transport::SlotRef;
 
-// What a command carries from the client side to the instance side; routing never looks inside.
-struct Cargo {
-  virtual ~Cargo() = default;
+// What a command carries from the client side to the worker side; routing never looks inside.
+struct RequestPayload {
+  virtual ~RequestPayload() = default;
   std::shared_ptr<streaming::Pipe>
       upload;  // the command's body, where it passes through as it comes
   std::shared_ptr<streaming::Pipe>
       reply;  // for a reply that does; it owns its memory from the start
 };
 
-// What an instance made of a command.
+// What a worker made of a command.
 struct Reply {
   std::string body;  // whole, unless `rest` is there
   std::vector<std::pair<std::string, std::string>>
@@ -38,53 +38,53 @@
 };
 
 // Each of these is the command's one final answer.
-class ClientSide {
+class ClientPort {
  public:
-  virtual ~ClientSide() = default;
+  virtual ~ClientPort() = default;
   // A reply that passes through is answered with its first byte. Where it breaks off after that,
   // the client must be able to tell, and no other answer follows.
-  virtual void served(CommandRef command, Reply reply) = 0;
-  virtual void nack(CommandRef command, scheduling::Duration retry_after) = 0;  // 0: no advice
-  virtual void failed(CommandRef command) = 0;
+  virtual void served(RequestRef command, Reply reply) = 0;
+  virtual void nack(RequestRef command, scheduling::Duration retry_after) = 0;  // 0: no advice
+  virtual void failed(RequestRef command) = 0;
 };
 
 struct AttemptRef {
-  CommandRef command;
+  RequestRef command;
   int attempt = 0;
   auto operator<=>(const AttemptRef&) const = default;
 };
 
-// A cargo's upload goes out as it comes. An attempt begins at its instance with its last byte: an
+// A cargo's upload goes out as it comes. An attempt begins at its worker with its last byte: an
 // end by then is told as Unreachable. How each ends comes back through Router::attempt_ended() or
 // probe_ended(), once.
-class InstanceSide {
+class WorkerPort {
  public:
-  virtual ~InstanceSide() = default;
-  virtual void submit(AttemptRef attempt, const std::string& instance,
-                      std::shared_ptr<const Cargo> cargo,
+  virtual ~WorkerPort() = default;
+  virtual void submit(AttemptRef attempt, const std::string& worker,
+                      std::shared_ptr<const RequestPayload> cargo,
                       scheduling::Time ends) = 0;  // when nobody waits for it any more
   // Gives it up. Its end is Withdrawn once that is done, not only wished for, or what overtakes it;
   // Void where it had not begun.
   virtual void withdraw(AttemptRef attempt) = 0;
   virtual void settled(AttemptRef attempt) = 0;      // it ended otherwise: forget it, tell nobody
   virtual bool begun(AttemptRef attempt) const = 0;  // its last byte has been written: it may run
-  virtual void probe(const std::string& instance) = 0;
-  virtual bool taken(AttemptRef attempt) const = 0;  // the instance has said that it has it
+  virtual void probe(const std::string& worker) = 0;
+  virtual bool taken(AttemptRef attempt) const = 0;  // the worker has said that it has it
 };
 
-class NameTableSide {
+class DiscoveryPort {
  public:
-  virtual ~NameTableSide() = default;
+  virtual ~DiscoveryPort() = default;
   virtual void
-  watch() = 0;  // from now on; changes and a failure come through Router::names_changed()
+  watch() = 0;  // from now on; changes and a failure come through Router::on_endpoint_update()
 };
 
-// The other dispatchers of the tier. What they have at an instance comes back through
-// Router::peers_have().
-class PeerSide {
+// The other dispatchers of the tier. What they have at a worker comes back through
+// Router::on_load_gossip().
+class GossipPort {
  public:
-  virtual ~PeerSide() = default;
-  virtual void have(const std::string& instance,
+  virtual ~GossipPort() = default;
+  virtual void have(const std::string& worker,
                     int jobs) = 0;  // so many attempts of ours are there now
 };
 
