--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -19,16 +19,16 @@
 using scheduling::LoadReport;
 using scheduling::Outcome;
 
-Router::Router(const scheduling::Settings& settings, std::size_t most_commands,
+Router::Router(const scheduling::Settings& settings, std::size_t max_requests,
                const transport::Clock& clock, transport::Deadlines& deadlines, Ports ports,
-               operations::Figures& figures, Log log)
+               operations::Metrics& metrics, Log log)
     : settings_(settings),
       clock_(clock),
       deadlines_(deadlines),
       ports_(ports),
-      figures_(figures),
+      metrics_(metrics),
       log_(std::move(log)),
-      table_(most_commands) {}
+      table_(max_requests) {}
 
 void Router::note(const char* what, scheduling::RequestId id, int attempt, std::string_view text,
                   const char* more) const {
@@ -40,7 +40,7 @@
   trace_(std::string(head).append(text).append(*more ? " " : "").append(more));
 }
 
-// The module is never entered from inside one of its own actions: what a port reports meanwhile
+// The scheduler is never entered from inside one of its own actions: what a port reports meanwhile
 // waits here.
 void Router::post(std::function<void()> event) {
   events_.push_back(std::move(event));
@@ -66,12 +66,13 @@
     dispatcher_.emplace(settings_, clock_.now(), actions);
     act(actions);
     actions.clear();
-    dispatcher_->on_list(clock_.now(), scheduling::ListKind::Persisted, known, actions);
+    dispatcher_->on_endpoint_update(clock_.now(), scheduling::EndpointUpdateKind::Cached, known,
+                                    actions);
     act(actions);
   });
 }
 
-Router::Taking Router::take(NewCommand n, const std::function<void(CommandRef)>& known) {
+Router::Taking Router::take(NewRequest n, const std::function<void(RequestRef)>& known) {
   if (by_id_.contains(n.request.id) || elsewhere_.contains(n.request.id))
     return Taking::Duplicate;
   Command c;
@@ -79,8 +80,8 @@
   c.job_class = n.request.job_class;
   c.most_attempts = settings_.max_attempts;
   c.cargo = std::move(n.cargo);
-  c.ends = clock_.now() + n.request.patience + n.request.transfer;
-  std::optional<CommandRef> ref = table_.insert(std::move(c));
+  c.ends = clock_.now() + n.request.timeout + n.request.transfer;
+  std::optional<RequestRef> ref = table_.insert(std::move(c));
   if (!ref)
     return count_nack(n.request.job_class), Taking::Full;
   by_id_[n.request.id] = *ref;
@@ -99,11 +100,11 @@
   return Taking::Taken;
 }
 
-void Router::client_gone(CommandRef ref) {
+void Router::client_gone(RequestRef ref) {
   post([this, ref] { drop_client(ref); });
 }
 
-void Router::drop_client(CommandRef ref) {
+void Router::drop_client(RequestRef ref) {
   Command* c = table_.find(ref);
   if (!c || c->answered)
     return;
@@ -112,7 +113,7 @@
   c->answered = true;
   --open_;
   std::vector<Action> actions;
-  dispatcher_->on_client_gone(clock_.now(), id, actions);
+  dispatcher_->on_client_disconnected(clock_.now(), id, actions);
   act(actions);
   if ((c = table_.find(ref)))
     close_answered(ref, *c);
@@ -126,66 +127,67 @@
 
 void Router::progress(Progress news) {
   post([this, news = std::move(news)]() mutable {
-    CommandRef ref;
+    RequestRef ref;
     Command* c = by_id(news.id, ref);
     if (!c)
       return;  // finished or never heard of: calls repeat, and come late
-    // An instance has one attempt of a command at a time; an earlier one there has ended.
+    // A worker has one attempt of a command at a time; an earlier one there has ended.
     int attempt = static_cast<int>(c->attempts.size()) - 1;
     while (attempt >= 0 &&
-           !(c->attempts[attempt].open && c->attempts[attempt].instance == news.instance))
+           !(c->attempts[attempt].open && c->attempts[attempt].worker == news.worker))
       --attempt;
     if (attempt < 0)
       return;
     if (!news.started && !news.progress) {
-      ports_.instances.settled({ref, attempt});
+      ports_.workers.settled({ref, attempt});
       return end_attempt({ref, attempt}, news.outcome, news.report,
                          {std::move(news.result), {}, {}, {}});
     }
     c->attempts[attempt].ran = true;
     if (news.started)
-      note("started", news.id, attempt, news.instance);
+      note("started", news.id, attempt, news.worker);
     std::vector<Action> actions;
-    auto kind = news.started ? scheduling::NoteKind::Started : scheduling::NoteKind::Progress;
-    dispatcher_->on_note(clock_.now(), news.id, attempt, news.instance, kind, actions);
+    auto kind =
+        news.started ? scheduling::JobEventKind::Started : scheduling::JobEventKind::Progress;
+    dispatcher_->on_job_event(clock_.now(), news.id, attempt, news.worker, kind, actions);
     act(actions);
   });
 }
 
-void Router::probe_ended(const std::string& instance, Outcome outcome, const LoadReport& report) {
+void Router::probe_ended(const std::string& worker, Outcome outcome, const LoadReport& report) {
   post([=, this] {
-    note("probed", 0, -1, instance, kOutcomes[static_cast<int>(outcome)]);
+    note("probed", 0, -1, worker, kOutcomes[static_cast<int>(outcome)]);
     std::vector<Action> actions;
-    dispatcher_->on_probe_result(clock_.now(), instance, outcome, report, actions);
+    dispatcher_->on_health_check_result(clock_.now(), worker, outcome, report, actions);
     act(actions);
   });
 }
 
-void Router::names_changed(scheduling::ListKind kind,
-                           const std::vector<scheduling::WorkerEntry>& entries) {
+void Router::on_endpoint_update(scheduling::EndpointUpdateKind kind,
+                                const std::vector<scheduling::WorkerEntry>& entries) {
   post([this, kind,
         &entries] {  // by reference: lists come from sockets and timers, never from an action
     std::vector<Action> actions;
-    dispatcher_->on_list(clock_.now(), kind, entries, actions);
+    dispatcher_->on_endpoint_update(clock_.now(), kind, entries, actions);
     act(actions);
   });
 }
 
-void Router::peers_have(const std::string& instance, int jobs) {
-  post([this, instance, jobs] {
+void Router::on_load_gossip(const std::string& worker, int jobs) {
+  post([this, worker, jobs] {
     std::vector<Action> actions;
-    dispatcher_->on_peers(clock_.now(), instance, jobs, actions);
+    dispatcher_->on_load_gossip(clock_.now(), worker, jobs, actions);
     act(actions);
   });
 }
 
-void Router::count(const std::string& instance, int more) {
+void Router::count(const std::string& worker, int more) {
   if (!ports_.peers)
     return;
-  int& jobs = at_[instance];
-  ports_.peers->have(instance, jobs += more);
+  int& jobs = at_[worker];
+  ports_.peers->have(worker, jobs += more);
   if (jobs == 0)
-    at_.erase(instance);
+    at_.erase(worker);
 }
 
 std::vector<scheduling::RequestId> Router::ids() const {
@@ -195,16 +197,16 @@
   return all;
 }
 
-std::vector<CommandRef> Router::open_refs() const {
-  std::vector<CommandRef> open;
-  for (CommandRef ref : table_.refs()) {
+std::vector<RequestRef> Router::open_refs() const {
+  std::vector<RequestRef> open;
+  for (RequestRef ref : table_.refs()) {
     if (!table_.find(ref)->answered)
       open.push_back(ref);
   }
   return open;
 }
 
-std::optional<Router::Given> Router::look_at(CommandRef ref) const {
+std::optional<Router::Given> Router::look_at(RequestRef ref) const {
   const Command* c = table_.find(ref);
   if (!c || c->answered || c->cargo->upload || c->cargo->reply)
     return std::nullopt;
@@ -212,16 +214,16 @@
   for (int i = 0; i < std::ssize(c->attempts); ++i) {
     if (!c->attempts[i].open)
       continue;
-    if (!ports_.instances.taken({ref, i}))
+    if (!ports_.workers.taken({ref, i}))
       return std::nullopt;
-    g.instances.push_back(c->attempts[i].instance);
+    g.workers.push_back(c->attempts[i].worker);
   }
-  if (g.instances.empty())
+  if (g.workers.empty())
     return std::nullopt;
   return g;
 }
 
-void Router::give_away(CommandRef ref) {
+void Router::give_away(RequestRef ref) {
   post([this, ref] {
     Command* c = table_.find(ref);
     if (!c || c->answered)
@@ -231,19 +233,19 @@
     --open_;
     for (int i = 0; i < std::ssize(c->attempts); ++i) {
       if (!std::exchange(c->attempts[i].open, false))
-        continue;  // the module's cancels then reach nobody
-      ports_.instances.settled({ref, i});
-      count(c->attempts[i].instance, -1);
+        continue;  // the scheduler's cancels then reach nobody
+      ports_.workers.settled({ref, i});
+      count(c->attempts[i].worker, -1);
     }
     std::vector<Action> actions;
-    dispatcher_->on_client_gone(clock_.now(), c->id, actions);
+    dispatcher_->on_client_disconnected(clock_.now(), c->id, actions);
     act(actions);
     if ((c = table_.find(ref)))
       close_answered(ref, *c);
   });
 }
 
-void Router::retune(const scheduling::Settings& settings) {
+void Router::apply_settings(const scheduling::Settings& settings) {
   post([this, settings] {
     settings_ = settings;
     dispatcher_->on_settings(settings);
@@ -252,7 +254,7 @@
 
 void Router::fail_all() {
   post([this] {
-    for (CommandRef ref : table_.refs()) {
+    for (RequestRef ref : table_.refs()) {
       Command* c = table_.find(ref);
       if (!c || c->answered)
         continue;
@@ -264,13 +266,13 @@
 
 // ---- The three final answers ----
 
-void Router::nack(CommandRef ref, Command& c, Duration retry_after) {
-  ++figures_.of(c.job_class).throttled;
+void Router::nack(RequestRef ref, Command& c, Duration retry_after) {
+  ++metrics_.of(c.job_class).throttled;
   ports_.clients.nack(ref, retry_after);
 }
 
-void Router::fail(CommandRef ref, Command& c) {
-  ++figures_.of(c.job_class).faulted;
+void Router::fail(RequestRef ref, Command& c) {
+  ++metrics_.of(c.job_class).faulted;
   ports_.clients.failed(ref);
 }
 
@@ -285,9 +287,9 @@
       return answer(a);
     case ActionKind::Cancel:
       return cancel(a);
-    case ActionKind::Probe:
-      return ports_.instances.probe(std::string(a.worker));
-    case ActionKind::Subscribe:
+    case ActionKind::HealthCheck:
+      return ports_.workers.probe(std::string(a.worker));
+    case ActionKind::Watch:
       return ports_.names.watch();
     case ActionKind::SetTimer:
       deadlines_.add(a.at, [this] {
@@ -303,7 +305,7 @@
   }
 }
 
-Router::Command* Router::by_id(scheduling::RequestId id, CommandRef& ref) {
+Router::Command* Router::by_id(scheduling::RequestId id, RequestRef& ref) {
   auto it = by_id_.find(id);
   if (it == by_id_.end())
     return nullptr;
@@ -312,35 +314,35 @@
 }
 
 void Router::send(const Action& a) {
-  CommandRef ref;
+  RequestRef ref;
   Command* c = by_id(a.id, ref);
-  std::string instance(a.worker);
+  std::string worker(a.worker);
   if (!c)
-    return post([=, this, id = a.id] { tell_end(id, 0, true, instance, Outcome::Void, {}); });
+    return post([=, this, id = a.id] { tell_end(id, 0, true, worker, Outcome::NotSent, {}); });
   int attempt = static_cast<int>(c->attempts.size());
-  // Past the end, past the deadline or past the last attempt allowed nothing goes out; the module
-  // learns it as the simulator told it.
+  // Past the end, past the deadline or past the last attempt allowed nothing goes out; the
+  // scheduler learns it as the simulator told it.
   bool sent = !c->answered && clock_.now() < c->ends && attempt < c->most_attempts && !spent(*c);
-  c->attempts.push_back({instance, sent});
+  c->attempts.push_back({worker, sent});
   if (sent) {
-    note("sent", a.id, attempt, instance);
-    count(instance, 1);
+    note("sent", a.id, attempt, worker);
+    count(worker, 1);
   }
   if (sent)
-    return ports_.instances.submit({ref, attempt}, instance, c->cargo, c->ends);
+    return ports_.workers.submit({ref, attempt}, worker, c->cargo, c->ends);
   post([=, this, id = a.id, final = c->answered] {
-    tell_end(id, attempt, final, instance, Outcome::Void, {});
+    tell_end(id, attempt, final, worker, Outcome::NotSent, {});
   });
 }
 
 void Router::answer(const Action& a) {
-  CommandRef ref;
+  RequestRef ref;
   Command* c = by_id(a.id, ref);
   if (!c || c->answered)
     return;
   c->answered = true;
   --open_;
-  // The module takes an attempt that is out for one that may run. Where none has begun that is a
+  // The scheduler takes an attempt that is out for one that may run. Where none has begun that is a
   // refusal.
   bool refused = a.kind == ActionKind::Reject || !may_have_run(ref, *c);
   note("answered", a.id, -1, refused ? "nack" : "failed");
@@ -349,22 +351,22 @@
   } else {
     fail(ref, *c);
   }
-  // Later, as the module's cancels of this command's attempts follow among the same actions.
+  // Later, as the scheduler's cancels of this command's attempts follow among the same actions.
   post([this, ref] {
     if (Command* done = table_.find(ref))
       close_answered(ref, *done);
   });
 }
 
-bool Router::may_have_run(CommandRef ref, const Command& c) const {
+bool Router::may_have_run(RequestRef ref, const Command& c) const {
   for (int i = 0; i < std::ssize(c.attempts); ++i) {
-    if (c.attempts[i].ran || (c.attempts[i].open && ports_.instances.begun({ref, i})))
+    if (c.attempts[i].ran || (c.attempts[i].open && ports_.workers.begun({ref, i})))
       return true;
   }
   return false;
 }
 
-void Router::answer_unserved(CommandRef ref, Command& c) {
+void Router::answer_unserved(RequestRef ref, Command& c) {
   if (may_have_run(ref, c)) {
     fail(ref, c);
   } else {
@@ -373,11 +375,11 @@
 }
 
 void Router::cancel(const Action& a) {
-  CommandRef ref;
+  RequestRef ref;
   Command* c = by_id(a.id, ref);
   if (!c || a.attempt < 0 || a.attempt >= std::ssize(c->attempts) || !c->attempts[a.attempt].open)
     return;
-  ports_.instances.withdraw({ref, a.attempt});  // it ends when the instance has been told
+  ports_.workers.withdraw({ref, a.attempt});  // it ends when the worker has been told
 }
 
 // ---- Ends ----
@@ -391,21 +393,21 @@
   if (!open)
     return;
   c->attempts[ref.attempt].open = false;
-  c->attempts[ref.attempt].ran |=
-      outcome != Outcome::Overloaded && outcome != Outcome::Unreachable && outcome != Outcome::Void;
-  count(c->attempts[ref.attempt].instance, -1);
-  note("ended", c->id, ref.attempt, c->attempts[ref.attempt].instance,
+  c->attempts[ref.attempt].ran |= outcome != Outcome::Rejected &&
+                                  outcome != Outcome::ConnectFailed && outcome != Outcome::NotSent;
+  count(c->attempts[ref.attempt].worker, -1);
+  note("ended", c->id, ref.attempt, c->attempts[ref.attempt].worker,
        kOutcomes[static_cast<int>(outcome)]);
   if (serves) {
     note("answered", c->id, -1, "served");
     c->answered = true;
     --open_;
-    ++figures_.of(c->job_class).fulfilled;
+    ++metrics_.of(c->job_class).fulfilled;
     ports_.clients.served(ref.command, std::move(reply));
   } else if (!c->answered && spent(*c)) {
     give_up_spent(ref.command, *c, outcome);
   }
-  tell_end(c->id, ref.attempt, c->answered, std::string(c->attempts[ref.attempt].instance), outcome,
+  tell_end(c->id, ref.attempt, c->answered, std::string(c->attempts[ref.attempt].worker), outcome,
            report);
   if ((c = table_.find(ref.command)))
     close_answered(ref.command, *c);
@@ -416,14 +418,14 @@
   return c.cargo->upload && !c.cargo->upload->replayable();
 }
 
-// The answer comes from here, and the module is told that the command has ended with this attempt:
-// it would otherwise choose another instance for something that is not there any more. A job begins
-// with the last byte of its upload, so the end before that is a refusal that is true, for any
-// class.
-void Router::give_up_spent(CommandRef ref, Command& c, Outcome outcome) {
+// The answer comes from here, and the scheduler is told that the command has ended with this
+// attempt: it would otherwise choose another worker for something that is not there any more. A job
+// begins with the last byte of its upload, so the end before that is a refusal that is true, for
+// any class.
+void Router::give_up_spent(RequestRef ref, Command& c, Outcome outcome) {
   bool whole = c.cargo->upload->taken_all();
-  bool never_began = outcome == Outcome::Unreachable || outcome == Outcome::Overloaded ||
-                     (outcome == Outcome::Withdrawn && !whole);
+  bool never_began = outcome == Outcome::ConnectFailed || outcome == Outcome::Rejected ||
+                     (outcome == Outcome::Cancelled && !whole);
   c.answered = true;
   --open_;
   if (never_began) {
@@ -433,13 +435,13 @@
   }
 }
 
-void Router::tell_end(scheduling::RequestId id, int attempt, bool final,
-                      const std::string& instance, Outcome outcome, const LoadReport& report) {
+void Router::tell_end(scheduling::RequestId id, int attempt, bool final, const std::string& worker,
+                      Outcome outcome, const LoadReport& report) {
   scheduling::AttemptEnd e;
   e.id = id;
   e.attempt = attempt;
   e.final = final;
-  e.worker = instance;
+  e.worker = worker;
   e.outcome = outcome;
   e.report = report;
   std::vector<Action> actions;
@@ -447,24 +449,26 @@
   act(actions);
 }
 
-// The client's time is up: what is out has timed out. The module still owes its answer and usually
-// gave it a moment ago; where it gives none, the client gets a failure and the module is told that
-// the client has left.
-void Router::time_up(CommandRef ref) {
+// The client's time is up: what is out has timed out. The scheduler still owes its answer and
+// usually gave it a moment ago; where it gives none, the client gets a failure and the scheduler is
+// told that the client has left.
+void Router::time_up(RequestRef ref) {
   post([this, ref] {
     Command* c = table_.find(ref);
     for (int i = 0; c && i < std::ssize(c->attempts); c = table_.find(ref), ++i) {
       if (c && c->attempts[i].open) {
-        // An upload that is still on its way says nothing of its instance, which must not wait for
+        // An upload that is still on its way says nothing of its worker, which must not wait for
         // the rest.
         bool unfinished = c->cargo->upload && !c->cargo->upload->taken_all();
-        bool begun = !unfinished && ports_.instances.begun({ref, i});
+        bool begun = !unfinished && ports_.workers.begun({ref, i});
         if (begun) {
-          ports_.instances.settled({ref, i});
+          ports_.workers.settled({ref, i});
         } else {
-          ports_.instances.withdraw({ref, i});  // its connection could still come up
+          ports_.workers.withdraw({ref, i});  // its connection could still come up
         }
-        Outcome end = unfinished ? Outcome::Withdrawn : begun ? Outcome::TimedOut : Outcome::Void;
+        Outcome end = unfinished ? Outcome::Cancelled
+                      : begun    ? Outcome::TimedOut
+                                 : Outcome::NotSent;
         end_attempt({ref, i}, end, {}, {});
       }
     }
@@ -482,13 +486,13 @@
 // Answered and nothing of it out any more: the slot is free for another. An attempt whose
 // connection is still coming up would begin for nobody: it is given up here, also where the
 // settings forbid to cancel what runs.
-void Router::close_answered(CommandRef ref, Command& c) {
+void Router::close_answered(RequestRef ref, Command& c) {
   if (!c.answered)
     return;
   for (int i = 0; i < std::ssize(c.attempts); ++i) {
-    if (c.attempts[i].open && !ports_.instances.begun({ref, i})) {
-      ports_.instances.withdraw({ref, i});
-      return end_attempt({ref, i}, Outcome::Void, {}, {});  // which comes back here
+    if (c.attempts[i].open && !ports_.workers.begun({ref, i})) {
+      ports_.workers.withdraw({ref, i});
+      return end_attempt({ref, i}, Outcome::NotSent, {}, {});  // which comes back here
     }
   }
   for (const Attempt& a : c.attempts) {
--- a/src/scheduling/cost_model.cpp
+++ b/src/scheduling/cost_model.cpp
@@ -32,50 +32,52 @@
       throw std::invalid_argument(std::string("settings: ") + what);
   };
   need(!s.classes.empty(), "settings name no class");
-  need(s.balancers >= 1, "balancers must be at least 1");
-  need(s.index >= 0 && s.index < s.balancers, "index must be in [0, balancers)");
+  need(s.dispatchers >= 1, "balancers must be at least 1");
+  need(s.index >= 0 && s.index < s.dispatchers, "index must be in [0, balancers)");
   need(s.max_attempts >= 1, "max_attempts must be at least 1");
-  need(s.cold_from > 0 && s.cold_from <= 1, "cold_from must be in (0, 1]");
-  need(s.tip_multiple > 0 && ms(s.fall_span) > 0, "tip_multiple and fall_span must be positive");
-  need(s.budget_free.has_value() == s.extra_window.has_value() &&
-           s.extra_per_request.has_value() == s.extra_window.has_value(),
+  need(s.slow_start_initial_fraction > 0 && s.slow_start_initial_fraction <= 1,
+       "cold_from must be in (0, 1]");
+  need(s.overload_multiple > 0 && ms(s.overload_window) > 0,
+       "tip_multiple and fall_span must be positive");
+  need(s.retry_budget_free.has_value() == s.retry_budget_window.has_value() &&
+           s.retry_budget_ratio.has_value() == s.retry_budget_window.has_value(),
        "the retry budget is given in part: it needs its free attempts, its share and its window");
   auto sane = [](double x) {
     return std::isfinite(x) && x >= 0;
   };
-  need(sane(s.budget_free.value_or(0)) && sane(s.extra_per_request.value_or(0)) &&
-           sane(ms(s.extra_window.value_or(Duration(0)))),
+  need(sane(s.retry_budget_free.value_or(0)) && sane(s.retry_budget_ratio.value_or(0)) &&
+           sane(ms(s.retry_budget_window.value_or(Duration(0)))),
        "a figure of the retry budget is negative or not finite");
-  for (Duration d : {s.tick, s.answer_slack, s.must_ask_in, s.drain_grace, s.ramp_time,
-                     s.progress_every, s.max_retry_after})
+  for (Duration d : {s.tick, s.answer_slack, s.poll_deadline, s.drain_grace, s.slow_start_duration,
+                     s.progress_interval, s.max_retry_after})
     need(ms(d) >= 0, "a time is negative");
   for (const ClassSettings& c : s.classes) {
-    need(ms(c.aim) >= 0 && ms(c.deadline) >= 0 && ms(c.memory_span) >= 0 && c.stretch >= 0 &&
-             c.worth >= 0,
+    need(ms(c.latency_objective) >= 0 && ms(c.deadline) >= 0 && ms(c.deduplication_window) >= 0 &&
+             c.objective_work_factor >= 0 && c.priority_weight >= 0,
          "a class has a negative time, stretch or worth");
   }
 }
 
-double HintHistogram::lower_edge(std::size_t bin) {
+double CostHistogram::lower_edge(std::size_t bin) {
   return std::exp2(kLowestOctave + static_cast<double>(bin) / kBinsPerOctave);
 }
 
-void HintHistogram::Bin::operator+=(const Bin& o) {
+void CostHistogram::Bin::operator+=(const Bin& o) {
   count += o.count;
   work += o.work;
   square += o.square;
   inverse += o.inverse;
 }
-void HintHistogram::Bin::operator-=(const Bin& o) {
+void CostHistogram::Bin::operator-=(const Bin& o) {
   count -= o.count;
   work -= o.work;
   square -= o.square;
   inverse -= o.inverse;
 }
 
-HintHistogram::HintHistogram() : bins_(30 * kBinsPerOctave) {}
+CostHistogram::CostHistogram() : bins_(30 * kBinsPerOctave) {}
 
-void HintHistogram::decay(Time now) {
+void CostHistogram::decay(Time now) {
   double steps = std::floor(std::max(0.0, (now - decayed_) / Duration(seconds(1))));
   if (steps < 1)
     return;
@@ -91,7 +93,7 @@
   decayed_ += Duration(steps * 1000);
 }
 
-void HintHistogram::add(Time now, double work_ms) {
+void CostHistogram::add(Time now, double work_ms) {
   if (!(work_ms > 0 && work_ms <= 1e13))
     return;
   if (!first_)
@@ -109,7 +111,7 @@
   work_ += work_ms;
 }
 
-double HintHistogram::work_rate(Time now) const {
+double CostHistogram::work_rate(Time now) const {
   if (!first_)
     return 0;
   double age = std::max(1.0, (now - *first_) / Duration(seconds(1)));
@@ -117,19 +119,19 @@
   return work_ / (1000 * half / std::log(2) * (1 - std::exp2(-age / half)));
 }
 
-double HintModel::slope() const {
+double CostHintModel::slope() const {
   return std::clamp((both_ + kTrust) / (hint_var_ + kTrust), 0.2, 1.0);
 }
 
-double HintModel::expected(double hint_ms) const {
+double CostHintModel::expected(double hint_ms) const {
   return bent_ > 0 ? std::pow(hint_ms, slope()) * hints_ / bent_ : hint_ms;
 }
 
-double HintModel::spread() const {
+double CostHintModel::spread() const {
   return std::exp(std::sqrt(std::max(0.0, seen_var_ - slope() * both_) / (n_ + kTrust)));
 }
 
-void HintModel::learn(double hint_ms, double seen_ms) {
+void CostHintModel::learn(double hint_ms, double seen_ms) {
   if (!(hint_ms > 0 && seen_ms > 0))
     return;
   double x = std::log(hint_ms);
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -101,16 +101,16 @@
 
 }  // namespace
 
-class Dispatcher::Logic {
+class Scheduler::Logic {
  public:
   Logic(const Settings& settings, Time now, std::vector<Action>& out)
       : now_(now), begun_(now), out_(&out), random_(settings.seed) {
-    retune(settings);
+    apply_settings(settings);
   }
 
   // For the jobs to come: open ones keep the class and the number of attempts that they came with.
   // What has been learned stays, as classes and tenants keep their numbers.
-  void retune(const Settings& settings) {
+  void apply_settings(const Settings& settings) {
     validate(settings);
     set_ = settings;
     all_quotas_ = 0;
@@ -123,11 +123,11 @@
 
   // ---- The list and the pools ----
 
-  void list(ListKind kind, const std::vector<WorkerEntry>& entries) {
+  void list(EndpointUpdateKind kind, const std::vector<WorkerEntry>& entries) {
     list_answered(kind, entries.empty());
-    if (kind == ListKind::Error)
+    if (kind == EndpointUpdateKind::Failed)
       return;
-    if (kind != ListKind::Partial) {
+    if (kind != EndpointUpdateKind::Delta) {
       for (auto& [id, w] : workers_)
         w.listed = false;
     }
@@ -140,7 +140,7 @@
       it = forget && !named(&it->second) ? workers_.erase(it) : std::next(it);
     }
     cut_pools();
-    if (set_.may_probe && kind == ListKind::Persisted && !draws()) {
+    if (set_.health_checks_allowed && kind == EndpointUpdateKind::Cached && !draws()) {
       for (Worker* w : ready_)
         probe(*w);
     }
@@ -170,7 +170,7 @@
     w.kind = e.kind;
     w.cell = e.cell;
     w.size = std::isfinite(e.size) && e.size > 0 ? e.size : 1;
-    w.listed = e.readiness != Readiness::Gone;
+    w.listed = e.readiness != Readiness::Removed;
     w.ready = e.readiness == Readiness::Ready;
   }
 
@@ -211,8 +211,8 @@
     calibrate();
   }
 
-  // Listed sizes have no unit: scale them so that they agree with the speeds seen, 1 on average
-  // before any.
+  // WorkerEndpoint sizes have no unit: scale them so that they agree with the speeds seen, 1 on
+  // average before any.
   void calibrate() {
     double seen = 0;
     double seen_size = 0;
@@ -252,24 +252,24 @@
     }
   }
 
-  // Subscribe at launch and after each error, inside must_ask_in or what a failed call leaves of
+  // Subscribe at launch and after each error, inside poll_deadline or what a failed call leaves of
   // four times that. Discovery serves all one by one, and those whose calls fail together would
   // keep it overbooked: pauses grow with their number; where they are many and hold a list, one
   // comes before the first call too.
   void subscribe() {
-    out_->push_back({.kind = ActionKind::Subscribe});
+    out_->push_back({.kind = ActionKind::Watch});
     subscribed_ = false;
-    arm(now_ + std::max(set_.must_ask_in / 2, Duration(seconds(2))), DueKind::Subscribe, ++ask_);
+    arm(now_ + std::max(set_.poll_deadline / 2, Duration(seconds(2))), DueKind::Subscribe, ++ask_);
   }
 
-  void list_answered(ListKind kind, bool none) {
-    if (!set_.must_subscribe)
+  void list_answered(EndpointUpdateKind kind, bool none) {
+    if (!set_.watch_required)
       return;
-    Duration turn = kAskTurn * set_.balancers;
+    Duration turn = kAskTurn * set_.dispatchers;
     Duration least = std::clamp(turn, kAskPause / 3, kAskPause);
     std::uniform_real_distribution<double> jitter(0.5, 1.0);
-    bool starts = kind == ListKind::Persisted;
-    subscribed_ = !starts && kind != ListKind::Error;
+    bool starts = kind == EndpointUpdateKind::Cached;
+    subscribed_ = !starts && kind != EndpointUpdateKind::Failed;
     if (starts && (none || turn < least)) {
       subscribe();
     } else if (starts) {
@@ -287,7 +287,7 @@
       return;
     cutoff_due_ = now_ + kCutoffEvery;
     calibrate();
-    if (!set_.may_probe || !(set_.tells_start || draws()))
+    if (!set_.health_checks_allowed || !(set_.reports_job_start || draws()))
       usual_load_ /= 2;  // no job begun, no report
     double capacity = 0.01;
     double busy = 0;
@@ -300,8 +300,8 @@
       busy += std::min(w->slots, draws() ? w->others : others(*w));
     }
     double own = hints_.work_rate(now_) / capacity;
-    bool seen = set_.tells_start || set_.reports != ReportMode::Off;
-    double load = std::clamp(seen ? own + busy / slots : own * set_.balancers, 0.05, 0.95);
+    bool seen = set_.reports_job_start || set_.reports != LoadReportMode::Off;
+    double load = std::clamp(seen ? own + busy / slots : own * set_.dispatchers, 0.05, 0.95);
     std::optional<double> fair;
     if (hints_.samples() >= kFewSamples * (draws() ? 3 : 1))
       fair = hints_.fair_cutoff(load, short_share_);
@@ -311,7 +311,7 @@
   // ---- A job arrives ----
 
   void request(const Request& r) {
-    if (set_.extra_window) {
+    if (set_.retry_budget_window) {
       trim_ledger();
       taken_.push_back(now_);
     }
@@ -319,34 +319,38 @@
       return;
     Job& job = jobs_[r.id];
     job.request = r;
-    job.lot = r.hint && ms(*r.hint) > 0 ? 0 : std::generate_canonical<double, 53>(random_);
+    job.lot =
+        r.cost_hint && ms(*r.cost_hint) > 0 ? 0 : std::generate_canonical<double, 53>(random_);
     job.cls = set_.classes[r.job_class];
     job.most = set_.max_attempts;
     job.request.slots = std::isfinite(r.slots) ? std::clamp(r.slots, 1.0, 1e6) : 1;
     job.request.memory = std::isfinite(r.memory) ? std::clamp(r.memory, 0.0, 1e6) : 0;
-    bool hinted = r.hint && ms(*r.hint) > 0 && ms(*r.hint) <= kSaneWorkMs;  // also false for NaN
+    bool hinted = r.cost_hint && ms(*r.cost_hint) > 0 &&
+                  ms(*r.cost_hint) <= kSaneWorkMs;  // also false for NaN
     auto& stats = class_stats_.try_emplace(r.job_class).first->second;
     if (hinted)
-      stats.learn(ms(*r.hint));
-    job.hint = hinted ? ms(*r.hint) : 0;
-    job.work = hinted ? stats.hints.expected(job.hint) : stats.mean_work;
+      stats.learn(ms(*r.cost_hint));
+    job.cost_hint = hinted ? ms(*r.cost_hint) : 0;
+    job.work = hinted ? stats.hints.expected(job.cost_hint) : stats.mean_work;
     mean_work_ += 0.05 * (job.load() - mean_work_);
-    mean_worth_ += 0.05 * (worth(job) - mean_worth_);
+    mean_worth_ += 0.05 * (priority_weight(job) - mean_worth_);
     hints_.add(now_, job.load());
     asked_.fade(now_, kTraffic);
     asked_.count += 1;
     // A client's repeat comes with less patience than a first try; the difference is the time
     // already lost.
-    stats.patience = std::max(stats.patience, r.patience);
-    Duration lost = stats.patience - r.patience;
-    Duration wanted = std::min(job.cls.aim + Duration(job.cls.stretch * job.work), stats.patience);
-    job.ends = now_ + r.patience + r.transfer - 2 * set_.tick - Duration(2);
+    stats.timeout = std::max(stats.timeout, r.timeout);
+    Duration lost = stats.timeout - r.timeout;
+    Duration wanted =
+        std::min(job.cls.latency_objective + Duration(job.cls.objective_work_factor * job.work),
+                 stats.timeout);
+    job.ends = now_ + r.timeout + r.transfer - 2 * set_.tick - Duration(2);
     job.limit = std::min(now_ + wanted - lost, job.ends);
     // EXCEPTION short patience: where that leaves no time at all, it may as well be a first try in
     // a hurry: it goes where it keeps nobody waiting. May hurt when repeats of a long overload find
     // free slots.
     if (job.limit < now_ + Duration(job.work / mean_speed_) && lost > Duration(0) &&
-        job.cls.late_worth <= 0) {
+        job.cls.late_weight <= 0) {
       job.limit = std::min(now_ + wanted, job.ends);
       job.late = true;
     }
@@ -364,7 +368,7 @@
       return finish(job, ActionKind::Reject);
     if (!ask(job) && !place(job))
       hold(job);
-    if (set_.reports == ReportMode::OnProbe && !draws())
+    if (set_.reports == LoadReportMode::OnProbe && !draws())
       look_around();
   }
 
@@ -374,7 +378,7 @@
   // part has grown.
   bool beyond_share(const Job& job) {
     std::size_t tenant = job.request.tenant;
-    if (tenant >= tenants_.size() || tenants_[tenant].quota <= 0 || set_.over_share_worth >= 1)
+    if (tenant >= tenants_.size() || tenants_[tenant].quota <= 0 || set_.over_quota_weight >= 1)
       return false;
     if (traffic_at_ == Time{})
       traffic_at_ = now_;
@@ -382,7 +386,7 @@
     traffic_ = keep * traffic_ + 1;
     traffic_span_ = keep * traffic_span_ + (1 - keep) * (kTraffic / Duration(seconds(1)));
     traffic_at_ = now_;
-    double even = all_quotas_ / set_.balancers;
+    double even = all_quotas_ / set_.dispatchers;
     double part = (traffic_ + kTrafficGuess * even) / (traffic_span_ + kTrafficGuess) / all_quotas_;
     Tenant& t = tenants_[tenant];
     recent_.fade(now_, kMoved);
@@ -402,17 +406,17 @@
     return t.left -= beyond ? 0 : 1, beyond;
   }
 
-  double worth(const Job& job) const {
-    return job.cls.worth * (set_.worth_by_work ? job.load() : 1);
+  double priority_weight(const Job& job) const {
+    return job.cls.priority_weight * (set_.weight_by_work ? job.load() : 1);
   }
   double cross_price(
       const Job& job) const {  // as a share of a job's slack that a crossing must save
-    return kCrossDoubt * set_.price_cross_zone * mean_worth_ / std::max(1e-9, worth(job));
+    return kCrossDoubt * set_.cross_zone_price * mean_worth_ / std::max(1e-9, priority_weight(job));
   }
   // EXCEPTION no hint: in a drawn fleet it goes to either pool, by capacity: a class would fill one
   // of them.
   bool is_short(const Job& job) const {
-    return job.hint <= 0 && draws() ? job.lot < short_share_ : job.load() < cutoff_;
+    return job.cost_hint <= 0 && draws() ? job.lot < short_share_ : job.load() < cutoff_;
   }
 
   // ---- The choice of a worker ----
@@ -435,7 +439,7 @@
   // a shorter span: no repeat. Guards also against own stalls, as now_ is read anew; may hurt where
   // connecting is far quicker than its timeout.
   bool refusable(const Job& job) const {
-    return job.cls.effect == Effect::Safe ||
+    return job.cls.idempotency == Idempotency::Idempotent ||
            std::ranges::none_of(job.attempts, &Attempt::may_have_run);
   }
   bool may_send(const Worker& w, const Job& job) const {
@@ -444,16 +448,16 @@
     double timeout = ms(set_.connect_timeout.value_or(Duration(-1)));
     double margin = timeout >= 0 ? 2 * timeout + 2 * ms(set_.tick) : INFINITY;
     for (const Attempt& a : job.attempts) {
-      if (a.open && (!set_.parallel_tries || a.worker == &w))
+      if (a.open && (!set_.hedging_allowed || a.worker == &w))
         return false;
-      if (!a.may_have_run || job.cls.effect == Effect::Safe)
+      if (!a.may_have_run || job.cls.idempotency == Idempotency::Idempotent)
         continue;
-      double left = ms(a.since + job.cls.memory_span - now_) - margin;
-      if (job.cls.effect == Effect::Unsafe || !(left > 0 && std::isfinite(left)))
+      double left = ms(a.since + job.cls.deduplication_window - now_) - margin;
+      if (job.cls.idempotency == Idempotency::NonIdempotent || !(left > 0 && std::isfinite(left)))
         return false;
-      if (job.cls.group == Group::Zone && a.zone != w.zone)
+      if (job.cls.deduplication_scope == DeduplicationScope::Zone && a.zone != w.zone)
         return false;
-      if (job.cls.group == Group::Cell && a.cell != w.cell)
+      if (job.cls.deduplication_scope == DeduplicationScope::Cell && a.cell != w.cell)
         return false;
     }
     return true;
@@ -465,18 +469,18 @@
     if (now_ < w.full_until || (shun != w.shunned.end() && now_ < shun->second.until))
       return false;
     if (d >= kDown) {
-      return !set_.may_probe && now_ >= w.trial_at && w.out.empty() &&
-             job.cls.effect != Effect::Unsafe;
+      return !set_.health_checks_allowed && now_ >= w.trial_at && w.out.empty() &&
+             job.cls.idempotency != Idempotency::NonIdempotent;
     }
-    return d < kDoubtful || job.cls.effect != Effect::Unsafe;
+    return d < kDoubtful || job.cls.idempotency != Idempotency::NonIdempotent;
   }
 
   double warmth(
       const Worker& w) const {  // fraction of its capacity that a started worker surely has
-    if (!w.cold_since || ms(set_.ramp_time) <= 0)
+    if (!w.cold_since || ms(set_.slow_start_duration) <= 0)
       return 1;
-    double t = std::clamp((now_ - *w.cold_since) / set_.ramp_time, 0.0, 1.0);
-    return set_.cold_from + (1 - set_.cold_from) * t;
+    double t = std::clamp((now_ - *w.cold_since) / set_.slow_start_duration, 0.0, 1.0);
+    return set_.slow_start_initial_fraction + (1 - set_.slow_start_initial_fraction) * t;
   }
 
   // Rule of cold workers: what may be sent within any fall span is multiple x capacity x span, by
@@ -486,20 +490,20 @@
   // count, part what is left over. In a drawn fleet its holders look at it with each job: left to
   // chance, most of a fleet replaced at once stood idle.
   double cold_budget(const Worker& w) const {
-    return set_.tip_multiple * ms(set_.fall_span) * w.slots * std::min(w.speed, mean_speed_) *
-           warmth(w);
+    return set_.overload_multiple * ms(set_.overload_window) * w.slots *
+           std::min(w.speed, mean_speed_) * warmth(w);
   }
   double cold_share(const Worker& w) const {
-    double holders = std::min(kColdHolders, 1.0 * set_.balancers);
+    double holders = std::min(kColdHolders, 1.0 * set_.dispatchers);
     double since_start = ms(now_ - (w.online_since == w.cold_since ? *w.cold_since : Time{}));
-    double span = ms(set_.fall_span);
+    double span = ms(set_.overload_window);
     double turn = std::floor(since_start / (kColdTurn * span));
     bool waits =
-        turn > 0 && holders < set_.balancers && since_start - turn * kColdTurn * span <= span;
-    auto first = static_cast<std::uint64_t>(w.hash + 7919 * turn) % set_.balancers;
-    auto place = (set_.index + set_.balancers - first) % set_.balancers;
-    double part =
-        (holders + 1) * (w.cold_since < begun_ && now_ - begun_ <= set_.fall_span ? holders : 1);
+        turn > 0 && holders < set_.dispatchers && since_start - turn * kColdTurn * span <= span;
+    auto first = static_cast<std::uint64_t>(w.hash + 7919 * turn) % set_.dispatchers;
+    auto place = (set_.index + set_.dispatchers - first) % set_.dispatchers;
+    double part = (holders + 1) *
+                  (w.cold_since < begun_ && now_ - begun_ <= set_.overload_window ? holders : 1);
     return !waits && static_cast<double>(place) < holders ? cold_budget(w) / part : 0;
   }
 
@@ -518,7 +522,7 @@
     if (job.load() * spread * spread * spread > cold_budget(w))
       return false;
     double load = felt(w, job, std::max(kColdDoubt, spread));
-    while (!w.sent.empty() && w.sent.front().first + set_.fall_span < now_)
+    while (!w.sent.empty() && w.sent.front().first + set_.overload_window < now_)
       w.sent.pop_front();
     for (const auto& [at, work] : w.sent)
       load += work;
@@ -537,7 +541,7 @@
   double others(const Worker& w) const {
     if (told(w))
       return *w.peers;
-    double runs = set_.reports == ReportMode::Off ? kBlindRuns : 2;
+    double runs = set_.reports == LoadReportMode::Off ? kBlindRuns : 2;
     double fresh = 1 / (1 + (now_ - w.others_at) / Duration(runs * mean_work_));
     return w.others * fresh + std::max(0.0, usual_load_ * w.slots - w.own_slots) * (1 - fresh);
   }
@@ -552,7 +556,7 @@
     double speed = likely_speed(w);
     releases_.clear();
     for (const Outstanding& o : w.out) {
-      if (!o.started && set_.tells_start) {
+      if (!o.started && set_.reports_job_start) {
         queued += o.work * o.slots / speed;
         continue;
       }
@@ -595,7 +599,7 @@
   Choice best_of(const Job& job, bool cross) {
     Choice best;
     double least = 0;
-    int rounds = job.late || !set_.parallel_tries ? 2 : 4;  // the latter two for queues
+    int rounds = job.late || !set_.hedging_allowed ? 2 : 4;  // the latter two for queues
     for (int round = 0; round < rounds; ++round) {
       bool pool = (round % 2 == 0) == is_short(job);
       double most = round < 2 ? 0 : kQueueShare;
@@ -634,7 +638,7 @@
   // only few, it looks at all.
   std::size_t few() const {
     return static_cast<std::size_t>(
-        std::max(kLookLeast, kLookPart * ready_.size() / set_.balancers));
+        std::max(kLookLeast, kLookPart * ready_.size() / set_.dispatchers));
   }
   bool draws() const { return 2 * few() < ready_.size(); }
 
@@ -668,7 +672,7 @@
   // in the other pool. A probe costs far less than the wait it saves; one that is not answered in a
   // moment stands in a queue.
   bool ask(Job& job) {
-    if (!set_.may_probe || set_.reports == ReportMode::Off || !draws())
+    if (!set_.health_checks_allowed || set_.reports == LoadReportMode::Off || !draws())
       return false;
     while (job.rounds < kAskRounds) {
       int round = job.rounds++;
@@ -756,22 +760,22 @@
   // when handled. A second copy leaves a resend in it, for a failure. Without reports no copy where
   // half of the jobs wait to start.
   void trim_ledger() {
-    Time start = now_ - *set_.extra_window;
+    Time start = now_ - *set_.retry_budget_window;
     while (!taken_.empty() && taken_.front() <= start + 2 * set_.tick)
       taken_.pop_front();
     while (!extras_.empty() && extras_.front() < start - 2 * set_.tick)
       extras_.pop_front();
   }
   bool extra_allowed(bool copy) {
-    double part =
-        set_.reports == ReportMode::Off ? kCopyPart * std::max(0.0, 2 * prompt_ - 1) : kCopyPart;
+    double part = set_.reports == LoadReportMode::Off ? kCopyPart * std::max(0.0, 2 * prompt_ - 1)
+                                                      : kCopyPart;
     if (copy && copies_.fade(now_, kTraffic) >= 1 + part * asked_.fade(now_, kTraffic))
       return false;
-    if (!set_.extra_window)
+    if (!set_.retry_budget_window)
       return true;
     trim_ledger();
     double allowed =
-        *set_.budget_free + *set_.extra_per_request * static_cast<double>(taken_.size());
+        *set_.retry_budget_free + *set_.retry_budget_ratio * static_cast<double>(taken_.size());
     return static_cast<double>(extras_.size()) + 1 + (copy ? kKeptForResends : 0) <= allowed + 1e-9;
   }
 
@@ -797,7 +801,7 @@
       w.sent.emplace_back(now_, felt(w, job, 1));
     if (doubt(w) >= kDown)
       put_off_trial(w);
-    if (!job.attempts.empty() && set_.extra_window)
+    if (!job.attempts.empty() && set_.retry_budget_window)
       extras_.push_back(now_);
     Time since = now_;
     for (const Attempt& a : job.attempts) {
@@ -806,9 +810,9 @@
     }
     job.attempts.push_back({&w, now_, since, w.zone, w.cell});
     out_->push_back({.kind = ActionKind::Send, .id = job.request.id, .worker = w.id});
-    Duration run = set_.tells_start ? Duration(0) : kOverdue * run_time(w, job);
+    Duration run = set_.reports_job_start ? Duration(0) : kOverdue * run_time(w, job);
     arm(now_ + Duration(50) + 4 * set_.tick + run, DueKind::Watch, job.request.id);
-    if (set_.tells_start && job.cls.late_worth <= 0)
+    if (set_.reports_job_start && job.cls.late_weight <= 0)
       arm(last_chance(job), DueKind::Watch, job.request.id);
   }
 
@@ -829,10 +833,10 @@
 
   // Most worth for a unit of work first, then least time left: in an overload some wait in vain.
   Turn turn(const Job& job) const {
-    double worth = job.cls.worth * (job.late ? job.cls.late_worth : 1);
+    double priority_weight = job.cls.priority_weight * (job.late ? job.cls.late_weight : 1);
     if (job.over)
-      worth *= set_.over_share_worth;
-    return {set_.worth_by_work ? -worth : -worth / job.load(), job.limit};
+      priority_weight *= set_.over_quota_weight;
+    return {set_.weight_by_work ? -priority_weight : -priority_weight / job.load(), job.limit};
   }
 
   void unhold(Job& job) {
@@ -856,7 +860,7 @@
     if (!job.held_key || now_ < last_chance(job) || place(job))
       return;
     unhold(job);
-    if (job.cls.late_worth > 0 && !job.late && usual_load_ < 1) {
+    if (job.cls.late_weight > 0 && !job.late && usual_load_ < 1) {
       job.limit = job.ends;
       job.late = true;
       if (!place(job))
@@ -900,7 +904,7 @@
     return it == w.out.end() ? nullptr : &*it;
   }
 
-  void note(RequestId id, int attempt, std::string_view worker, NoteKind kind) {
+  void note(RequestId id, int attempt, std::string_view worker, JobEventKind kind) {
     auto wit = workers_.find(worker);
     auto it = jobs_.find(id);
     Attempt* a = it != jobs_.end() ? attempt_of(it->second, attempt) : nullptr;
@@ -912,7 +916,7 @@
     Worker& w = wit->second;
     o->heard = now_;
     alive(w);
-    if (kind != NoteKind::Started || o->started)
+    if (kind != JobEventKind::Started || o->started)
       return;
     bool prompt = now_ - o->sent < Duration(20) + 4 * set_.tick;
     o->started = now_;
@@ -930,12 +934,12 @@
       return;
     cancel_open(it->second, true);  // a copy that still waits elsewhere is not needed
     arm(now_ + kOverdue * run_time(w, it->second) + Duration(50), DueKind::Watch, id);
-    if (ms(set_.progress_every) > 0)
-      arm(now_ + 2.2 * set_.progress_every, DueKind::Watch, id);
+    if (ms(set_.progress_interval) > 0)
+      arm(now_ + 2.2 * set_.progress_interval, DueKind::Watch, id);
   }
 
   void cancel_open(const Job& job, bool waiting_only) {
-    for (std::size_t i = 0; i < job.attempts.size() && set_.cancelling; ++i) {
+    for (std::size_t i = 0; i < job.attempts.size() && set_.cancellation_allowed; ++i) {
       if (job.attempts[i].open && !(waiting_only && job.attempts[i].started)) {
         out_->push_back(
             {.kind = ActionKind::Cancel, .id = job.request.id, .attempt = static_cast<int>(i)});
@@ -973,9 +977,9 @@
         continue;
       Duration run = run_time(w, job);
       Duration since = now_ - o->started.value_or(o->sent);
-      bool waits = set_.tells_start && !o->started;
-      bool silent =
-          o->started && ms(set_.progress_every) > 0 && now_ - o->heard > 2.1 * set_.progress_every;
+      bool waits = set_.reports_job_start && !o->started;
+      bool silent = o->started && ms(set_.progress_interval) > 0 &&
+                    now_ - o->heard > 2.1 * set_.progress_interval;
       bool overdue = !waits && since > kOverdue * run + Duration(40);
       if (waits)
         see_others(w, std::max(others(w), w.slots - w.started_slots));
@@ -994,7 +998,7 @@
     // drawn fleet one is all: where none of two starts, queues are long, and cancelled copies may
     // run on.
     auto counts = draws() ? &Attempt::may_have_run : &Attempt::open;
-    if (lagging && job.cls.effect != Effect::Unsafe && set_.parallel_tries &&
+    if (lagging && job.cls.idempotency != Idempotency::NonIdempotent && set_.hedging_allowed &&
         std::ranges::count(job.attempts, true, counts) < 2 && extra_allowed(true)) {
       if (Worker* w = choose(job); w && (urgent || has_room(*w, job)))
         send(job, *w);
@@ -1005,7 +1009,8 @@
   // that those behind it move up. Part of hold: a refusal after the sending. Without a hint nobody
   // can tell.
   bool waiting_in_vain(const Job& job) {
-    bool gives_up = set_.tells_start && set_.cancelling && job.cls.late_worth <= 0 && job.hint > 0;
+    bool gives_up = set_.reports_job_start && set_.cancellation_allowed &&
+                    job.cls.late_weight <= 0 && job.cost_hint > 0;
     return gives_up && now_ >= last_chance(job) &&
            std::ranges::none_of(job.attempts, &Attempt::started);
   }
@@ -1035,16 +1040,16 @@
       w.trial_gap = kTrialGap;
       put_off_trial(w);
       // One lost connection is not a lost worker: it may show life at once, but not each time.
-      if (set_.may_probe && now_ - w.down_at > kDownAgain)
+      if (set_.health_checks_allowed && now_ - w.down_at > kDownAgain)
         probe(w);
       w.down_at = now_;
     }
   }
 
   void suspect(Worker& w, double amount) {
-    if (set_.may_probe && now_ - w.reported_at > Duration(500))
+    if (set_.health_checks_allowed && now_ - w.reported_at > Duration(500))
       probe(w);
-    add_doubt(w, amount, "slow or silent", set_.may_probe ? 0.9 * kDown : 2 * kDown);
+    add_doubt(w, amount, "slow or silent", set_.health_checks_allowed ? 0.9 * kDown : 2 * kDown);
   }
 
   void alive(Worker& w) {
@@ -1065,7 +1070,7 @@
   void put_off_trial(Worker& w) {
     w.trial_at = now_ + w.trial_gap;
     w.trial_gap = std::min(2 * w.trial_gap, 4 * kTrialGap);
-    if (set_.may_probe)
+    if (set_.health_checks_allowed)
       arm(w.trial_at, DueKind::Trials, 0);
   }
 
@@ -1073,7 +1078,7 @@
     if (std::exchange(w.probe_out, true))
       return;
     w.reported_at = now_;
-    out_->push_back({.kind = ActionKind::Probe, .worker = w.id});
+    out_->push_back({.kind = ActionKind::HealthCheck, .worker = w.id});
   }
 
   // Reports come only with probes: about one probe for each job goes to the worker heard of least
@@ -1084,7 +1089,7 @@
       if (!w->probe_out && doubt(*w) < kDown && (!oldest || w->reported_at < oldest->reported_at))
         oldest = w;
     }
-    if (oldest && set_.may_probe && now_ - oldest->reported_at > Duration(500))
+    if (oldest && set_.health_checks_allowed && now_ - oldest->reported_at > Duration(500))
       probe(*oldest);
   }
 
@@ -1108,12 +1113,12 @@
       report(w, r, false);
       asked_answers(w, true);
       offer(w);
-    } else if (outcome != Outcome::Overloaded && outcome != Outcome::Void &&
+    } else if (outcome != Outcome::Rejected && outcome != Outcome::NotSent &&
                now_ - w.heard >= seconds(1)) {
       add_doubt(w, 0.6, "probe failed");  // heard of lately it is but busy: a deep probe may wait
     }
     if (!w.askers.empty())
-      asked_answers(w, outcome == Outcome::Overloaded);  // only too many probes there
+      asked_answers(w, outcome == Outcome::Rejected);  // only too many probes there
   }
 
   void report(Worker& w, const LoadReport& r, bool with_end) {
@@ -1159,8 +1164,8 @@
       // never did, but once only: of an open attempt, by its own worker, with no note of a start or
       // progress before.
       Attempt* a = attempt_of(job, e.attempt);
-      bool never_ran = e.outcome == Outcome::Overloaded || e.outcome == Outcome::Unreachable ||
-                       e.outcome == Outcome::Void;
+      bool never_ran = e.outcome == Outcome::Rejected || e.outcome == Outcome::ConnectFailed ||
+                       e.outcome == Outcome::NotSent;
       if (a && !never_ran)
         a->may_have_run = true;
       if (a && a->open && a->worker->id == e.worker) {
@@ -1168,7 +1173,7 @@
         if (never_ran && !a->started)
           a->may_have_run = false;
         auto extra = e.attempt > 0 ? std::ranges::find(extras_, a->sent) : extras_.end();
-        if (e.outcome == Outcome::Void && extra != extras_.end())
+        if (e.outcome == Outcome::NotSent && extra != extras_.end())
           extras_.erase(extra);
       }
       if (e.final) {
@@ -1191,14 +1196,14 @@
       bool paced =
           job == jobs_.end() || !job->second.request.streamed;  // by the worker, not by the client
       double work = paced ? learn_work(w, *o) : o->work;
-      if (o->started || (!set_.tells_start && paced))
+      if (o->started || (!set_.reports_job_start && paced))
         learn_speed(w, *o, work);
       alive(w);
       shun = {.served = shun.served + 1};
     }
-    if (e.outcome == Outcome::Unreachable)
+    if (e.outcome == Outcome::ConnectFailed)
       add_doubt(w, 1.0, "unreachable");
-    if (e.outcome == Outcome::Broken)
+    if (e.outcome == Outcome::ConnectionReset)
       add_doubt(w, 1.0, "connection broken");
     // EXCEPTION shun: a worker that failed a job of one class, and not by chance, is left alone by
     // that class, longer each time until it serves one. It may serve the others. May hurt when
@@ -1209,7 +1214,7 @@
     }
     if (e.outcome == Outcome::TimedOut)
       add_doubt(w, 0.5, "time-out");
-    if (e.outcome == Outcome::Overloaded) {
+    if (e.outcome == Outcome::Rejected) {
       if (w.out.size() == 1 && o->slots > 1 && others(w) < 0.5)
         w.cannot_slots = o->slots;
       // A full worker is left alone until a slot may have come free, longer each time it turns us
@@ -1254,15 +1259,15 @@
   // is known now.
   double learn_work(const Worker& w, const Outstanding& o) {
     auto it = jobs_.find(o.id);
-    if (it == jobs_.end() || (!o.started && set_.tells_start))
+    if (it == jobs_.end() || (!o.started && set_.reports_job_start))
       return o.work;
     double seen =
         std::max(ms(now_ - o.started.value_or(o.sent)), ms(set_.tick)) * w.speed * warmth(w);
     ClassStats& stats = class_stats_.at(it->second.request.job_class);
-    if (it->second.hint <= 0)
+    if (it->second.cost_hint <= 0)
       return stats.learn(seen / mean_speed_);
     if (o.started && seen > 0)
-      stats.hints.learn(it->second.hint, seen);
+      stats.hints.learn(it->second.cost_hint, seen);
     return o.work;
   }
 
@@ -1375,7 +1380,7 @@
   Recent recent_;
   Recent asked_;
   Recent copies_;  // the latter two: all requests, and second copies
-  HintHistogram hints_;
+  CostHistogram hints_;
   double cutoff_ = 0;
   double short_share_ = 0.5;
   double mean_work_ = 100;
@@ -1401,7 +1406,7 @@
 // For a pool with a share of the capacity: rho = load * (its part of the work) / share. By
 // Pollaczek-Khinchin E[W] = lambda E[X^2] / (2 (1 - rho)) and E[S] = E[W] E[1/X]; with n jobs of
 // work w in all, lambda is in proportion to n / w, and what both pools have in common cancels.
-std::optional<double> HintHistogram::fair_cutoff(double load, double short_share) const {
+std::optional<double> CostHistogram::fair_cutoff(double load, double short_share) const {
   auto slowdown = [&](const Bin& b, double share) {
     double rho = load * b.work / work_ / share;
     return rho < 1 ? b.square / (share * share) / (1 - rho) * b.inverse / b.count : -1;
@@ -1434,7 +1439,7 @@
   return best;
 }
 
-double HintHistogram::rule_of_thumb_cutoff(double load) const {
+double CostHistogram::rule_of_thumb_cutoff(double load) const {
   double below = 0;
   for (std::size_t i = 0; i < bins_.size(); ++i) {
     below += bins_[i].work;
@@ -1446,53 +1451,53 @@
 
 // ---- The interface ----
 
-Dispatcher::Dispatcher(const Settings& settings, Time now, std::vector<Action>& out)
+Scheduler::Scheduler(const Settings& settings, Time now, std::vector<Action>& out)
     : logic_(std::make_unique<Logic>(settings, now, out)) {}
-Dispatcher::~Dispatcher() = default;
-Dispatcher::Dispatcher(Dispatcher&&) noexcept = default;
-Dispatcher& Dispatcher::operator=(Dispatcher&&) noexcept = default;
+Scheduler::~Scheduler() = default;
+Scheduler::Scheduler(Scheduler&&) noexcept = default;
+Scheduler& Scheduler::operator=(Scheduler&&) noexcept = default;
 
-void Dispatcher::on_list(Time now, ListKind kind, const std::vector<WorkerEntry>& entries,
-                         Actions& out) {
+void Scheduler::on_endpoint_update(Time now, EndpointUpdateKind kind,
+                                   const std::vector<WorkerEntry>& entries, Actions& out) {
   logic_->at(now, out).list(kind, entries);
 }
-void Dispatcher::on_settings(const Settings& settings) {
-  logic_->retune(settings);
+void Scheduler::on_settings(const Settings& settings) {
+  logic_->apply_settings(settings);
 }
-void Dispatcher::on_request(Time now, const Request& r, Actions& out) {
+void Scheduler::on_request(Time now, const Request& r, Actions& out) {
   logic_->at(now, out).request(r);
 }
-void Dispatcher::on_note(Time now, RequestId id, int attempt, std::string_view w, NoteKind k,
-                         Actions& out) {
+void Scheduler::on_job_event(Time now, RequestId id, int attempt, std::string_view w,
+                             JobEventKind k, Actions& out) {
   logic_->at(now, out).note(id, attempt, w, k);
 }
-void Dispatcher::on_attempt_end(Time t, const AttemptEnd& e, Actions& o) {
+void Scheduler::on_attempt_end(Time t, const AttemptEnd& e, Actions& o) {
   logic_->at(t, o).attempt_end(e);
 }
-void Dispatcher::on_probe_result(Time now, std::string_view w, Outcome o, const LoadReport& r,
-                                 Actions& out) {
+void Scheduler::on_health_check_result(Time now, std::string_view w, Outcome o, const LoadReport& r,
+                                       Actions& out) {
   logic_->at(now, out).probe_result(w, o, r);
 }
-void Dispatcher::on_peers(Time t, std::string_view w, double n, Actions& o) {
+void Scheduler::on_load_gossip(Time t, std::string_view w, double n, Actions& o) {
   logic_->at(t, o).peers(w, n);
 }
-void Dispatcher::on_client_gone(Time now, RequestId id, Actions& out) {
+void Scheduler::on_client_disconnected(Time now, RequestId id, Actions& out) {
   logic_->at(now, out).gone(id);
 }
-void Dispatcher::on_timer(Time now, Actions& out) {
+void Scheduler::on_timer(Time now, Actions& out) {
   logic_->at(now, out).timer();
 }
-double Dispatcher::cutoff_ms() const {
+double Scheduler::cutoff_ms() const {
   return logic_->cutoff_;
 }
-bool Dispatcher::in_short_pool(std::string_view worker) const {
+bool Scheduler::in_short_pool(std::string_view worker) const {
   auto it = logic_->workers_.find(worker);
   return it != logic_->workers_.end() && it->second.short_pool;
 }
-std::size_t Dispatcher::open_requests() const {
+std::size_t Scheduler::open_requests() const {
   return logic_->jobs_.size();
 }
-bool Dispatcher::avoids(std::string_view worker) const {
+bool Scheduler::avoids(std::string_view worker) const {
   auto it = logic_->workers_.find(worker);
   return it != logic_->workers_.end() && (!it->second.ready || logic_->doubt(it->second) >= kDown);
 }
--- a/src/scheduling/state.h
+++ b/src/scheduling/state.h
@@ -100,13 +100,13 @@
 
 struct Job {
   Request request;
-  ClassSettings cls;  // as it was when the job came
-  int most = 1;       // attempts, likewise
-  double hint = 0;    // as it came; 0: none
-  double lot = 0;     // drawn in [0, 1), for what chance decides about it
-  double work;        // what is expected of it, ms at standard speed
-  Time limit;         // to be of worth by; moves from aim to deadline where late answers have worth
-  Time ends;          // the client's patience less a margin
+  ClassSettings cls;     // as it was when the job came
+  int most = 1;          // attempts, likewise
+  double cost_hint = 0;  // as it came; 0: none
+  double lot = 0;        // drawn in [0, 1), for what chance decides about it
+  double work;           // what is expected of it, ms at standard speed
+  Time limit;  // to be of worth by; moves from aim to deadline where late answers have worth
+  Time ends;   // the client's patience less a margin
   std::vector<Attempt> attempts;
   bool late = false;  // only late worth is left: runs where it keeps nobody waiting
   bool over = false;  // beyond its tenant's share: the same, and after all others that are held
@@ -123,8 +123,8 @@
   double learn(double work) {
     return mean_work += (work - mean_work) * std::max(0.05, 1.0 / ++jobs);
   }
-  Duration patience{0};  // the longest: of a first try
-  HintModel hints;
+  Duration timeout{0};  // the longest: of a first try
+  CostHintModel hints;
 };
 
 struct Choice {
--- a/src/settings/parse_error_collector.h
+++ b/src/settings/parse_error_collector.h
@@ -8,9 +8,9 @@
 namespace dispatcher::settings {
 
 // Protobuf counts lines and columns from 0, editors from 1.
-class Faults final : public google::protobuf::io::ErrorCollector {
+class ParseErrorCollector final : public google::protobuf::io::ErrorCollector {
  public:
-  explicit Faults(const std::string& name) : name_(name) {}
+  explicit ParseErrorCollector(const std::string& name) : name_(name) {}
   void AddError(int line, int column, const std::string& what) override {
     if (!text_.empty())
       text_ += '\n';
--- a/src/settings/settings_reader.h
+++ b/src/settings/settings_reader.h
@@ -116,16 +116,21 @@
   auto at = static_cast<std::size_t>(index);
   ClassSettings c;
   c.name = in.text(lane + "Name");
-  std::string_view effect = in.text(lane + "Effect");
-  std::string_view group = in.text(lane + "Group");
-  c.effect = effect == "safe" ? Effect::Safe : effect == "keyed" ? Effect::Keyed : Effect::Unsafe;
-  c.group = group == "all" ? Group::All : group == "zone" ? Group::Zone : Group::Cell;
-  c.memory_span = in.time(lane + "MemorySpanMs");
-  c.aim = in.time(lane + "AimMs");
+  std::string_view idempotency = in.text(lane + "Effect");
+  std::string_view deduplication_scope = in.text(lane + "Group");
+  c.idempotency = idempotency == "safe"    ? Idempotency::Idempotent
+                  : idempotency == "keyed" ? Idempotency::KeyedIdempotent
+                                           : Idempotency::NonIdempotent;
+  c.deduplication_scope = deduplication_scope == "all"    ? DeduplicationScope::All
+                          : deduplication_scope == "zone" ? DeduplicationScope::Zone
+                                                          : DeduplicationScope::Cell;
+  c.deduplication_window = in.time(lane + "MemorySpanMs");
+  c.latency_objective = in.time(lane + "AimMs");
   c.deadline = in.time(lane + "DeadlineMs");
-  c.stretch = in.number(lane + "AimStretch", in.item("Extra.ClassStretch", at).value_or(0));
-  c.worth = in.number(lane + "Worth", 1);
-  c.late_worth = in.number(lane + "LateWorth", 0);
+  c.objective_work_factor =
+      in.number(lane + "AimStretch", in.item("Extra.ClassStretch", at).value_or(0));
+  c.priority_weight = in.number(lane + "Worth", 1);
+  c.late_weight = in.number(lane + "LateWorth", 0);
   c.kind = static_cast<int>(in.item("Extra.ClassKind", at).value_or(-1));
   return c;
 }
@@ -133,45 +138,45 @@
 inline Columns read_settings(const SettingsReader& in, scheduling::Settings& s) {
   using namespace dispatcher::scheduling;
   s.zone = in.whole("Az", 0);
-  s.balancers = in.whole("Balancers", 1);
+  s.dispatchers = in.whole("Balancers", 1);
   s.index = in.whole("Index", 0);
   for (int i = 0; i < std::min(in.whole("Lanes.count", 0), 10'000); ++i)
     s.classes.push_back(read_class(in, i));
   s.tick = in.time("TickMs");
   s.max_attempts = in.whole("Permissions.MaxAttempts", 1);
-  s.parallel_tries = in.yes("Permissions.ParallelTries");
+  s.hedging_allowed = in.yes("Permissions.ParallelTries");
   if (in.has("Permissions.ConnectTimeoutMs"))
     s.connect_timeout = in.time("Permissions.ConnectTimeoutMs");
-  s.cancelling = in.yes("Permissions.Cancelling");
-  s.may_probe = in.yes("Permissions.MayProbe");
+  s.cancellation_allowed = in.yes("Permissions.Cancelling");
+  s.health_checks_allowed = in.yes("Permissions.MayProbe");
   if (in.yes("Permissions.RetryAfter"))
     s.max_retry_after = in.time("Permissions.MaxRetryAfterMs");
-  s.must_subscribe = in.text("Discovery") == "subscribe";
+  s.watch_required = in.text("Discovery") == "subscribe";
   std::string_view how = in.text("Report.How");
-  s.reports = how == "inline"     ? ReportMode::Inline
-              : how == "on_probe" ? ReportMode::OnProbe
-                                  : ReportMode::Off;
-  s.tells_start = in.yes("Extra.TellsStart");
-  s.progress_every = in.time("Extra.ProgressMs");
+  s.reports = how == "inline"     ? LoadReportMode::Inline
+              : how == "on_probe" ? LoadReportMode::OnProbe
+                                  : LoadReportMode::Off;
+  s.reports_job_start = in.yes("Extra.TellsStart");
+  s.progress_interval = in.time("Extra.ProgressMs");
   s.answer_slack = in.time("Invariants.AnswerSlackMs");
-  s.must_ask_in = in.time("Invariants.MustAskInMs");
+  s.poll_deadline = in.time("Invariants.MustAskInMs");
   s.drain_grace = in.time("Invariants.DrainGraceMs");
-  s.cold_from = in.number("Invariants.ColdFrom", s.cold_from);
-  s.ramp_time = in.time("Invariants.RampTimeMs");
-  s.tip_multiple = in.number("Invariants.TipMultiple", s.tip_multiple);
+  s.slow_start_initial_fraction = in.number("Invariants.ColdFrom", s.slow_start_initial_fraction);
+  s.slow_start_duration = in.time("Invariants.RampTimeMs");
+  s.overload_multiple = in.number("Invariants.TipMultiple", s.overload_multiple);
   if (in.has("Invariants.FallMs"))
-    s.fall_span = in.time("Invariants.FallMs");
+    s.overload_window = in.time("Invariants.FallMs");
   if (in.has("Invariants.BudgetFree"))
-    s.budget_free = in.number("Invariants.BudgetFree", 0);
+    s.retry_budget_free = in.number("Invariants.BudgetFree", 0);
   if (in.has("Invariants.ExtraPerRequest"))
-    s.extra_per_request = in.number("Invariants.ExtraPerRequest", 0);
+    s.retry_budget_ratio = in.number("Invariants.ExtraPerRequest", 0);
   if (in.has("Invariants.ExtraWindowMs"))
-    s.extra_window = in.time("Invariants.ExtraWindowMs");
+    s.retry_budget_window = in.time("Invariants.ExtraWindowMs");
   for (int i = 0; i < std::min(in.whole("Tenants.count", 0), 10'000); ++i)
     s.tenant_quotas.push_back(in.number("Tenants." + std::to_string(i) + ".QuotaRps", 0));
-  s.over_share_worth = in.number("OverShareWorth", 1);
-  s.price_cross_zone = in.number("Penalties.CrossZone", 0);
-  s.worth_by_work = in.text("WorthBy") == "work";
+  s.over_quota_weight = in.number("OverShareWorth", 1);
+  s.cross_zone_price = in.number("Penalties.CrossZone", 0);
+  s.weight_by_work = in.text("WorthBy") == "work";
   return {in.text("Extra.ReportX0") == "free_slots", in.text("Extra.ReportX1") == "free_memory"};
 }
 
--- a/src/simulator_adapter/host.h
+++ b/src/simulator_adapter/host.h
@@ -1,5 +1,5 @@
-// One batch in, one reply out: events go to the Dispatcher of their instance, its actions into the
-// reply. Nothing is decided here. Instances share nothing but the parsed list pages.
+// One batch in, one reply out: events go to the Dispatcher of their worker, its actions into the
+// reply. Nothing is decided here. Workers share nothing but the parsed list pages.
 #pragma once
 
 #include <array>
@@ -49,18 +49,18 @@
   bool in_batch() const { return in_batch_; }
 
  private:
-  struct Instance {
-    std::optional<scheduling::Dispatcher> dispatcher;
+  struct Worker {
+    std::optional<scheduling::Scheduler> dispatcher;
     Columns columns;
-    std::optional<dispatcher::fleet::Loads> loads;  // where dispatchers may talk
-    std::unordered_map<std::string, int> have;      // own jobs, by worker
+    std::optional<dispatcher::fleet::LoadGossip> loads;  // where dispatchers may talk
+    std::unordered_map<std::string, int> have;           // own jobs, by worker
     std::vector<std::string> listed;
   };
 
   void event(std::string_view what, Fields& f) {
     if (what == "TARGET_INSTANCE") {
       who_ = f.word();
-      host_ = &instances_[who_];
+      host_ = &workers_[who_];
       named_ = false;
     } else if (what == "MANIFEST") {
       page_ = &pages_.at(f.integer<std::size_t>(0, pages_.size() - 1));
@@ -72,11 +72,11 @@
       settings::SettingsReader in(f.rest());
       target().columns = read_settings(in, settings);
       if (in.yes("Permissions.Peers"))
-        target().loads.emplace(settings.index, settings.balancers);
+        target().loads.emplace(settings.index, settings.dispatchers);
       target().dispatcher.emplace(settings, now_, actions_);
       flush_actions();
     } else if (what == "DOWN") {
-      target() = Instance{};
+      target() = Worker{};
     } else if (known(what)) {
       if (!target().dispatcher)
         throw Malformed("event for an instance that was not launched");
@@ -91,20 +91,20 @@
            what == "WHISPER";
   }
 
-  void deliver(std::string_view what, Fields& f, scheduling::Dispatcher& d) {
+  void deliver(std::string_view what, Fields& f, scheduling::Scheduler& d) {
     if (what == "REQ") {
       scheduling::Request r;
       r.id = f.hex_id();
       r.job_class = f.integer<std::size_t>();
       r.tenant = static_cast<std::size_t>(std::max(0.0, f.optional_number().value_or(0)));
       f.word();  // key
-      r.patience = f.time();
-      std::optional<double> hint = f.optional_number();
+      r.timeout = f.time();
+      std::optional<double> cost_hint = f.optional_number();
       r.slots = f.optional_number().value_or(1);
       r.memory = f.optional_number().value_or(0);
       bool hint_valid = (static_cast<unsigned>(f.optional_number().value_or(0)) & 1U) != 0;
-      if (hint && hint_valid)
-        r.hint = scheduling::Duration(*hint);
+      if (cost_hint && hint_valid)
+        r.cost_hint = scheduling::Duration(*cost_hint);
       d.on_request(now_, r, actions_);
     } else if (what == "RESPONSE") {
       scheduling::AttemptEnd e;
@@ -125,9 +125,10 @@
       int kind = f.integer<int>();
       if (kind != 1 && kind != 2)
         return;
-      d.on_note(now_, id, attempt, worker,
-                kind == 1 ? scheduling::NoteKind::Started : scheduling::NoteKind::Progress,
-                actions_);
+      d.on_job_event(
+          now_, id, attempt, worker,
+          kind == 1 ? scheduling::JobEventKind::Started : scheduling::JobEventKind::Progress,
+          actions_);
     } else if (what == "WAKEUP") {
       d.on_timer(now_, actions_);
       if (host_->loads)
@@ -136,28 +137,28 @@
       std::string_view worker = f.word();
       scheduling::Outcome outcome = read_outcome(f.word());
       f.word();  // time since the send
-      d.on_probe_result(now_, worker, outcome, read_report(f.optional_word(), host_->columns),
-                        actions_);
+      d.on_health_check_result(now_, worker, outcome,
+                               read_report(f.optional_word(), host_->columns), actions_);
     } else if (what == "WHISPER") {
       if (!host_->loads)
         return;
       auto sender = f.integer<std::size_t>();
       host_->loads->take(now_, sender, read_bytes(f.optional_word()), changed(d));
     } else if (what == "TIMED_OUT_CLIENT") {
-      d.on_client_gone(now_, f.hex_id(), actions_);
+      d.on_client_disconnected(now_, f.hex_id(), actions_);
     } else {
-      std::optional<scheduling::ListKind> kind = read_list_kind(f.word());
+      std::optional<scheduling::EndpointUpdateKind> kind = read_list_kind(f.word());
       f.word();  // revision
       if (!kind)
         return;
       static const std::vector<scheduling::WorkerEntry> none;
-      bool error = *kind == scheduling::ListKind::Error;
+      bool error = *kind == scheduling::EndpointUpdateKind::Failed;
       entries_.clear();
       if (!error) {
         for (const Row& row : pages_.at(f.integer<std::size_t>(0, pages_.size() - 1)))
           entries_.push_back(row.entry());
       }
-      d.on_list(now_, *kind, error ? none : entries_, actions_);
+      d.on_endpoint_update(now_, *kind, error ? none : entries_, actions_);
       if (host_->loads && !error)
         listed(*kind);
     }
@@ -170,27 +171,27 @@
     --rows_left_;
   }
 
-  Instance& target() {
+  Worker& target() {
     if (!host_)
       throw Malformed("event before TARGET_INSTANCE");
     return *host_;
   }
 
-  void listed(scheduling::ListKind kind) {
+  void listed(scheduling::EndpointUpdateKind kind) {
     auto& names = host_->listed;
-    if (kind != scheduling::ListKind::Partial)
+    if (kind != scheduling::EndpointUpdateKind::Delta)
       names.clear();
     for (const scheduling::WorkerEntry& e : entries_) {
       std::erase(names, e.worker);
-      if (e.readiness != scheduling::Readiness::Gone)
+      if (e.readiness != scheduling::Readiness::Removed)
         names.emplace_back(e.worker);
     }
     host_->loads->list(names, changed(*host_->dispatcher));
   }
 
-  dispatcher::fleet::Loads::Changed changed(scheduling::Dispatcher& d) {
+  dispatcher::fleet::LoadGossip::Changed changed(scheduling::Scheduler& d) {
     return [this, &d](const std::string& worker, int jobs) {
-      d.on_peers(now_, worker, jobs, actions_);
+      d.on_load_gossip(now_, worker, jobs, actions_);
     };
   }
   void have(std::string_view worker, int more) {
@@ -230,7 +231,7 @@
     }
   }
 
-  std::unordered_map<std::string, Instance> instances_;
+  std::unordered_map<std::string, Worker> workers_;
   std::array<std::vector<Row>, 16> pages_;
   std::vector<Row>* page_ = nullptr;
   std::size_t rows_left_ = 0;
@@ -241,7 +242,7 @@
   std::string batch_;
   std::string who_;
   std::string reply_;
-  Instance* host_ = nullptr;
+  Worker* host_ = nullptr;
   bool in_batch_ = false;
   bool named_ = false;
 };
--- a/src/simulator_adapter/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -90,8 +90,8 @@
   std::string_view readiness = f.word();
   // A state this page does not name is one that takes no new work.
   row.values.readiness = readiness == "Ready"  ? Readiness::Ready
-                         : readiness == "Gone" ? Readiness::Gone
-                                               : Readiness::Terminating;
+                         : readiness == "Gone" ? Readiness::Removed
+                                               : Readiness::Draining;
   row.values.size = f.optional_number().value_or(1);
   std::optional<double> since = f.optional_number();
   if (since && *since != 0)
@@ -99,16 +99,16 @@
   return row;
 }
 
-inline std::optional<scheduling::ListKind> read_list_kind(std::string_view word) {
-  using scheduling::ListKind;
+inline std::optional<scheduling::EndpointUpdateKind> read_list_kind(std::string_view word) {
+  using scheduling::EndpointUpdateKind;
   if (word == "Partial")
-    return ListKind::Partial;
+    return EndpointUpdateKind::Delta;
   if (word == "Complete")
-    return ListKind::Complete;
+    return EndpointUpdateKind::Snapshot;
   if (word == "Persisted")
-    return ListKind::Persisted;
+    return EndpointUpdateKind::Cached;
   if (word == "Error")
-    return ListKind::Error;
+    return EndpointUpdateKind::Failed;
   return std::nullopt;
 }
 
@@ -117,17 +117,17 @@
   if (word == "success")
     return Outcome::Success;
   if (word == "overloaded")
-    return Outcome::Overloaded;
+    return Outcome::Rejected;
   if (word == "timed_out")
     return Outcome::TimedOut;
   if (word == "unreachable")
-    return Outcome::Unreachable;
+    return Outcome::ConnectFailed;
   if (word == "broken")
-    return Outcome::Broken;
+    return Outcome::ConnectionReset;
   if (word == "withdrawn")
-    return Outcome::Withdrawn;
+    return Outcome::Cancelled;
   if (word == "void")
-    return Outcome::Void;
+    return Outcome::NotSent;
   return Outcome::Failure;  // also a word not known here: the attempt is over and proves nothing
 }
 
@@ -205,11 +205,11 @@
       out += ' ';
       out += std::to_string(a.attempt);
       break;
-    case ActionKind::Probe:
+    case ActionKind::HealthCheck:
       out += "ASK_LOAD ";
       out += a.worker;
       break;
-    case ActionKind::Subscribe:
+    case ActionKind::Watch:
       out += "LISTEN 1";
       break;
     case ActionKind::SetTimer:
--- a/src/transport/gio_network.cpp
+++ b/src/transport/gio_network.cpp
@@ -31,7 +31,7 @@
 constexpr std::size_t kReadyAtOnce = 4096;  // the kernel hands out the others first the next time
 constexpr std::uint32_t kReset =
     EPOLLERR;  // comes unasked; names what is waited for where nothing else is
-// Guards the watch on discovery, which goes down just when connections to order workers pile up.
+// Guards the watch on discovery, which goes down just when connections to workers pile up.
 constexpr std::size_t kForWatch = 1;
 constexpr std::size_t kPartsAtOnce = 64;  // slices in one gathered write
 
@@ -144,7 +144,7 @@
 
 void GioNetwork::accept_all() {
   for (int i = 0; i < kAcceptsATurn && takes_; ++i) {
-    // Guards the descriptors kept for instances and discovery: a crowd of clients sheds its own
+    // Guards the descriptors kept for workers and discovery: a crowd of clients sheds its own
     // idle ones first, and where all are at work the next wait in the listen queue until one closes
     // or is idle again.
     if (accepted_ >= limits_.accepted) {
@@ -172,7 +172,7 @@
     if (!ref)
       return pause_accepting();
     acceptor_->on_accepted(*ref);
-    // A service client sends as soon as it has connected: its command is read before the next
+    // A client sends as soon as it has connected: its command is read before the next
     // newcomer could take this connection for a silent one and have it closed.
     on_readable(*ref, kReadATurn);
   }
--- a/testbed/main.cpp
+++ b/testbed/main.cpp
@@ -28,7 +28,7 @@
 
 [[noreturn]] void bad(const std::string& path, const TextFormat::ParseLocation& at,
                       const std::string& what) {
-  dispatcher::settings::Faults faults(path);
+  dispatcher::settings::ParseErrorCollector faults(path);
   faults.AddError(at.line, at.column, what);
   throw std::invalid_argument(faults.text());
 }
@@ -48,7 +48,7 @@
   std::string text{std::istreambuf_iterator<char>(in), {}};
   if (!in)
     throw std::invalid_argument(path + ":1:1: cannot be read");
-  dispatcher::settings::Faults faults(path);
+  dispatcher::settings::ParseErrorCollector faults(path);
   TextFormat::ParseInfoTree where;
   TextFormat::Parser parser;
   parser.RecordErrorsTo(&faults);
@@ -115,7 +115,7 @@
         fleet_.orders_begin(steady());
     }
     ProcessFleet::Account a = fleet_.account();
-    // Where order workers or the list fail, an order may; but it is told.
+    // Where workers or the list fail, an order may; but it is told.
     bool rules = (ailed_ ? a.answered : a.served) == a.given && a.begun_twice == 0 &&
                  a.to_drained == 0 && a.longest <= 256;
     bool in_time = double(a.in_time) >= scenario_.useful() * double(a.begun);
--- a/testbed/processes/process_fleet.h
+++ b/testbed/processes/process_fleet.h
@@ -64,7 +64,7 @@
     wait([this] { return agree(up_); });
   }
 
-  // Of the order workers. Returns when the list has told it to all that are up: no order that is
+  // Of the workers. Returns when the list has told it to all that are up: no order that is
   // handed in from then on may go there.
   void drain(int worker);
   void raise(int worker);  // back in the list
@@ -78,7 +78,7 @@
   // as wanted.
   std::uint64_t given() const { return given_; }
   bool in_time(std::uint64_t since);
-  struct Account {  // by what the stand-ins saw
+  struct Account {  // by what the stubs saw
     std::uint64_t given = 0;
     std::uint64_t answered = 0;
     std::uint64_t served = 0;
--- a/testbed/simulation/fleet_simulation.cpp
+++ b/testbed/simulation/fleet_simulation.cpp
@@ -8,7 +8,7 @@
 
 using scheduling::Action;
 using scheduling::ActionKind;
-using scheduling::ListKind;
+using scheduling::EndpointUpdateKind;
 using scheduling::LoadReport;
 using scheduling::Outcome;
 
@@ -59,42 +59,43 @@
   return -1;
 }
 
-FleetWorld::FleetWorld(Options options) : options_(options), random_(options.seed) {
-  settings_.balancers = options.thinks_alone ? 1 : options.dispatchers;
+FleetSimulation::FleetSimulation(Options options) : options_(options), random_(options.seed) {
+  settings_.dispatchers = options.thinks_alone ? 1 : options.dispatchers;
   scheduling::ClassSettings c;
   c.name = "order";
-  c.effect = scheduling::Effect::Unsafe;
-  c.group = scheduling::Group::All;
-  c.memory_span = Duration(5000);
-  c.aim = Duration(300);
-  c.stretch = 2.5;
+  c.idempotency = scheduling::Idempotency::NonIdempotent;
+  c.deduplication_scope = scheduling::DeduplicationScope::All;
+  c.deduplication_window = Duration(5000);
+  c.latency_objective = Duration(300);
+  c.objective_work_factor = 2.5;
   c.deadline = Duration(5000);
-  c.late_worth = 0.5;
+  c.late_weight = 0.5;
   settings_.classes = {c};
   c.name = "keyed";
-  c.effect = scheduling::Effect::Keyed;
-  c.late_worth = 0.3;
+  c.idempotency = scheduling::Idempotency::KeyedIdempotent;
+  c.late_weight = 0.3;
   if (options.keyed > 0)
     settings_.classes.push_back(c);
   settings_.tick = Duration(2);
   settings_.max_attempts = 3;
-  settings_.parallel_tries = true;
+  settings_.hedging_allowed = true;
   settings_.connect_timeout = Duration(kConnect);
-  settings_.cancelling = true;
-  settings_.must_subscribe = true;
-  settings_.reports = scheduling::ReportMode::Inline;
-  settings_.tells_start = true;
+  settings_.cancellation_allowed = true;
+  settings_.watch_required = true;
+  settings_.reports = scheduling::LoadReportMode::Inline;
+  settings_.reports_job_start = true;
   settings_.answer_slack = Duration(8);
-  settings_.must_ask_in = Duration(10000);
+  settings_.poll_deadline = Duration(10000);
   settings_.drain_grace = Duration(500);
-  settings_.cold_from = 0.3;
-  settings_.ramp_time = Duration(8000);
-  settings_.tip_multiple = 3;
-  settings_.fall_span = Duration(2000);
-  settings_.worth_by_work = true;
-  settings_.may_probe = options.probes;
+  settings_.slow_start_initial_fraction = 0.3;
+  settings_.slow_start_duration = Duration(8000);
+  settings_.overload_multiple = 3;
+  settings_.overload_window = Duration(2000);
+  settings_.weight_by_work = true;
+  settings_.health_checks_allowed = options.probes;
   if (options.bare)
-    settings_.tells_start = settings_.cancelling = settings_.parallel_tries = options_.news = false;
+    settings_.reports_job_start = settings_.cancellation_allowed = settings_.hedging_allowed =
+        options_.news = false;
   for (int i = 0; i < options.workers; ++i) {
     Worker w;
     w.id = std::string("w").append(std::to_string(i));
@@ -110,15 +111,15 @@
   look_who_knows();
 }
 
-void FleetWorld::in(double after, std::function<void()> call) {
+void FleetSimulation::in(double after, std::function<void()> call) {
   events_.push({now_ + Duration(after), ++order_, std::move(call)});
 }
 
-void FleetWorld::at(double seconds, std::function<void()> call) {
+void FleetSimulation::at(double seconds, std::function<void()> call) {
   events_.push({Time(Duration(1000 * seconds)), ++order_, std::move(call)});
 }
 
-void FleetWorld::run_until(double seconds) {
+void FleetSimulation::run_until(double seconds) {
   Time end{Duration(1000 * seconds)};
   while (!events_.empty() && events_.top().at <= end) {
     Event e = events_.top();
@@ -129,7 +130,7 @@
   now_ = end;
 }
 
-std::size_t FleetWorld::open() const {
+std::size_t FleetSimulation::open() const {
   std::size_t all = 0;
   for (const Node& n : nodes_) {
     all += static_cast<std::size_t>(
@@ -138,7 +139,7 @@
   return all;
 }
 
-FleetWorld::Where FleetWorld::where() const {
+FleetSimulation::Where FleetSimulation::where() const {
   Where where;
   for (const Node& n : nodes_) {
     for (const auto& [id, job] : n.jobs)
@@ -159,18 +160,18 @@
   return where;
 }
 
-std::size_t FleetWorld::index_of(std::string_view worker) const {
+std::size_t FleetSimulation::index_of(std::string_view worker) const {
   return by_id_.find(worker)->second;
 }
 
-double FleetWorld::warmth(const Worker& w) const {
+double FleetSimulation::warmth(const Worker& w) const {
   if (!w.started)
     return 1;
-  double t = std::clamp((now_ - *w.started) / settings_.ramp_time, 0.0, 1.0);
-  return settings_.cold_from + (1 - settings_.cold_from) * t;
+  double t = std::clamp((now_ - *w.started) / settings_.slow_start_duration, 0.0, 1.0);
+  return settings_.slow_start_initial_fraction + (1 - settings_.slow_start_initial_fraction) * t;
 }
 
-LoadReport FleetWorld::report(const Worker& w) const {
+LoadReport FleetSimulation::report(const Worker& w) const {
   LoadReport r;
   r.free_slots = std::max(0.0, double(options_.slots) - double(w.running.size()));
   r.queue = double(w.queue.size());
@@ -179,7 +180,7 @@
 }
 
 template <class Feed>
-void FleetWorld::feed(int node, Feed feed) {
+void FleetSimulation::feed(int node, Feed feed) {
   Node& n = nodes_[static_cast<std::size_t>(node)];
   if (!n.module)
     return;
@@ -190,7 +191,7 @@
 
 // ---- Dispatchers ----
 
-void FleetWorld::start(int node, bool first) {
+void FleetSimulation::start(int node, bool first) {
   Node& n = nodes_[static_cast<std::size_t>(node)];
   ++n.life;
   n.watching = false;
@@ -204,10 +205,10 @@
   if (options_.news)
     n.loads.emplace(node, options_.dispatchers);
   double jitter = first ? 0 : std::uniform_real_distribution<double>(0, 50)(random_);
-  in(jitter, [this, node] { tell_list(node, ListKind::Persisted, 0); });
+  in(jitter, [this, node] { tell_list(node, EndpointUpdateKind::Cached, 0); });
 }
 
-void FleetWorld::kill(int node, double back_after_s) {
+void FleetSimulation::kill(int node, double back_after_s) {
   Node& n = nodes_[static_cast<std::size_t>(node)];
   if (!n.module)
     return;
@@ -223,7 +224,7 @@
   in(1000 * back_after_s, [this, node] { start(node, false); });
 }
 
-void FleetWorld::arrive(int node) {
+void FleetSimulation::arrive(int node) {
   double capacity = 0;  // jobs a second
   for (int i = 0; i < options_.workers; ++i)
     capacity += workers_[static_cast<std::size_t>(i)].speed * options_.slots;
@@ -238,10 +239,10 @@
     ++counts_.orders;
     double work = kWork * std::min(8.0, std::lognormal_distribution<double>(-0.32, 0.8)(random_));
     scheduling::Request r;
-    r.id = ++next_id_, r.patience = Duration(5000);
+    r.id = ++next_id_, r.timeout = Duration(5000);
     if (options_.keyed > 0)
       r.job_class = std::bernoulli_distribution(options_.keyed)(random_);
-    r.hint = Duration(work * std::lognormal_distribution<double>(0, 0.3)(random_));
+    r.cost_hint = Duration(work * std::lognormal_distribution<double>(0, 0.3)(random_));
     auto second = static_cast<std::size_t>(now_s());
     counts_.came.resize(std::max(counts_.came.size(), second + 1)),
         counts_.in_time.resize(counts_.came.size());
@@ -253,7 +254,7 @@
   });
 }
 
-void FleetWorld::act(int node, std::vector<Action>& actions) {
+void FleetSimulation::act(int node, std::vector<Action>& actions) {
   std::uint64_t life = nodes_[static_cast<std::size_t>(node)].life;
   for (const Action& a : actions) {
     switch (a.kind) {
@@ -269,10 +270,10 @@
       case ActionKind::Fail:
         answer(node, a.id, counts_.failed);
         break;
-      case ActionKind::Probe:
+      case ActionKind::HealthCheck:
         probe(node, index_of(a.worker));
         break;
-      case ActionKind::Subscribe:
+      case ActionKind::Watch:
         call_discovery(node);
         break;
       case ActionKind::SetTimer:
@@ -287,18 +288,19 @@
   }
 }
 
-void FleetWorld::answer(int node, scheduling::RequestId id, long& count) {
+void FleetSimulation::answer(int node, scheduling::RequestId id, long& count) {
   auto& jobs = nodes_[static_cast<std::size_t>(node)].jobs;
   auto it = jobs.find(id);
   if (it == jobs.end() || std::exchange(it->second.answered, true))
     return;
   ++count;
-  in(0,
-     [this, node, id] { close(node, id); });  // the module's cancels of its attempts follow first
+  in(0, [this, node, id] {
+    close(node, id);
+  });  // the scheduler's cancels of its attempts follow first
 }
 
 // The client's time is over: what is out has timed out.
-void FleetWorld::time_up(int node, std::uint64_t life, scheduling::RequestId id) {
+void FleetSimulation::time_up(int node, std::uint64_t life, scheduling::RequestId id) {
   Node& n = nodes_[static_cast<std::size_t>(node)];
   auto it = n.jobs.find(id);
   if (n.life != life || it == n.jobs.end())
@@ -313,11 +315,11 @@
   if (std::exchange(it->second.answered, true))
     return close(node, id);
   ++counts_.failed;
-  feed(node, [&](auto& d, auto& out) { d.on_client_gone(now_, id, out); });
+  feed(node, [&](auto& d, auto& out) { d.on_client_disconnected(now_, id, out); });
   close(node, id);
 }
 
-void FleetWorld::close(int node, scheduling::RequestId id) {
+void FleetSimulation::close(int node, scheduling::RequestId id) {
   auto& jobs = nodes_[static_cast<std::size_t>(node)].jobs;
   auto it = jobs.find(id);
   if (it != jobs.end() && it->second.answered &&
@@ -325,7 +327,7 @@
     jobs.erase(it);
 }
 
-void FleetWorld::send(int node, const Action& a) {
+void FleetSimulation::send(int node, const Action& a) {
   Node& n = nodes_[static_cast<std::size_t>(node)];
   auto it = n.jobs.find(a.id);
   std::size_t worker = index_of(a.worker);
@@ -346,7 +348,7 @@
   in(kWay, [this, worker, run] { reach(worker, run); });
 }
 
-void FleetWorld::cancel(int node, const Action& a) {
+void FleetSimulation::cancel(int node, const Action& a) {
   auto& jobs = nodes_[static_cast<std::size_t>(node)].jobs;
   auto it = jobs.find(a.id);
   if (it == jobs.end() || a.attempt >= std::ssize(it->second.attempts))
@@ -361,11 +363,11 @@
     std::erase(w.running, run);
     begin_next(worker);
   });
-  in(0, [this, run] { end(run, Outcome::Withdrawn, std::nullopt); });
+  in(0, [this, run] { end(run, Outcome::Cancelled, std::nullopt); });
 }
 
 // With a report of `worker`, where it is the one that tells.
-void FleetWorld::end(Run run, Outcome outcome, std::optional<std::size_t> from) {
+void FleetSimulation::end(Run run, Outcome outcome, std::optional<std::size_t> from) {
   if (!lives(run))
     return;
   Node& n = nodes_[static_cast<std::size_t>(run.dispatcher)];
@@ -378,8 +380,8 @@
   std::size_t worker = attempt.worker;
   Worker& w = workers_[worker];
   count_there(run.dispatcher, worker, -1);
-  bool bad =
-      outcome == Outcome::Unreachable || outcome == Outcome::Failure || outcome == Outcome::Broken;
+  bool bad = outcome == Outcome::ConnectFailed || outcome == Outcome::Failure ||
+             outcome == Outcome::ConnectionReset;
   if (bad && (!w.up || w.fails > 0) && !w.first_failure)
     w.first_failure = now_;
   if (outcome == Outcome::Success && !std::exchange(it->second.answered, true)) {
@@ -400,28 +402,28 @@
 
 // ---- Workers ----
 
-void FleetWorld::reach(std::size_t worker, Run run) {
+void FleetSimulation::reach(std::size_t worker, Run run) {
   Worker& w = workers_[worker];
   if (!w.up)
-    return in(kConnect, [this, run] { end(run, Outcome::Unreachable, std::nullopt); });
+    return in(kConnect, [this, run] { end(run, Outcome::ConnectFailed, std::nullopt); });
   if (w.fallen)
-    return in(kWay, [this, run] { end(run, Outcome::Unreachable, std::nullopt); });
+    return in(kWay, [this, run] { end(run, Outcome::ConnectFailed, std::nullopt); });
   if (w.fails > 0 && std::bernoulli_distribution(w.fails)(random_)) {
     w.errors = w.errors * std::exp(-((now_ - w.error_at) / Duration(1000))) + 1;
     w.error_at = now_;
     return in(kWay, [this, run, worker] { end(run, Outcome::Failure, worker); });
   }
   if (w.queue.size() >= kQueue)
-    return in(kWay, [this, run, worker] { end(run, Outcome::Overloaded, worker); });
+    return in(kWay, [this, run, worker] { end(run, Outcome::Rejected, worker); });
   if (warmth(w) < 1) {
     w.sent.emplace_back(now_, run.work);
-    while (w.sent.front().first + settings_.fall_span < now_)
+    while (w.sent.front().first + settings_.overload_window < now_)
       w.sent.pop_front();
     double all = 0;
     for (const auto& [at, work] : w.sent)
       all += work;
-    double bears =
-        settings_.tip_multiple * ms(settings_.fall_span) * options_.slots * w.speed * warmth(w);
+    double bears = settings_.overload_multiple * ms(settings_.overload_window) * options_.slots *
+                   w.speed * warmth(w);
     counts_.cold_most = std::max(counts_.cold_most, all / bears);
     if (all > bears) {
       w.fallen = true;
@@ -432,7 +434,7 @@
   begin_next(worker);
 }
 
-void FleetWorld::begin_next(std::size_t worker) {
+void FleetSimulation::begin_next(std::size_t worker) {
   Worker& w = workers_[worker];
   while (w.up && !w.silent && !w.fallen && !w.queue.empty() &&
          std::ssize(w.running) < options_.slots) {
@@ -443,10 +445,10 @@
     if (warmth(w) < 1)
       counts_.cold_used += run.work;
     in(kWay, [this, run, worker] {
-      if (lives(run) && settings_.tells_start) {
+      if (lives(run) && settings_.reports_job_start) {
         feed(run.dispatcher, [&](auto& d, auto& out) {
-          d.on_note(now_, run.id, run.attempt, workers_[worker].id, scheduling::NoteKind::Started,
-                    out);
+          d.on_job_event(now_, run.id, run.attempt, workers_[worker].id,
+                         scheduling::JobEventKind::Started, out);
         });
       }
     });
@@ -462,7 +464,7 @@
   }
 }
 
-void FleetWorld::probe(int node, std::size_t worker) {
+void FleetSimulation::probe(int node, std::size_t worker) {
   ++counts_.probes;
   std::uint64_t life = nodes_[static_cast<std::size_t>(node)].life;
   bool answers = workers_[worker].up && !workers_[worker].fallen && !workers_[worker].silent;
@@ -473,13 +475,13 @@
     if (!answers && !w.first_failure)
       w.first_failure = now_;
     feed(node, [&](auto& d, auto& out) {
-      d.on_probe_result(now_, w.id, answers ? Outcome::Success : Outcome::TimedOut,
-                        answers ? report(w) : LoadReport(), out);
+      d.on_health_check_result(now_, w.id, answers ? Outcome::Success : Outcome::TimedOut,
+                               answers ? report(w) : LoadReport(), out);
     });
   });
 }
 
-void FleetWorld::vanish(int worker) {
+void FleetSimulation::vanish(int worker) {
   Worker& w = workers_[static_cast<std::size_t>(worker)];
   w.up = false;
   w.vanished = now_;
@@ -487,7 +489,7 @@
   w.queue.clear();  // nobody hears of these again
 }
 
-void FleetWorld::come_back(int worker) {
+void FleetSimulation::come_back(int worker) {
   Worker& w = workers_[static_cast<std::size_t>(worker)];
   w.up = true;
   w.started = now_;
@@ -497,14 +499,14 @@
   changed(static_cast<std::size_t>(worker));
 }
 
-void FleetWorld::replace(int worker) {
+void FleetSimulation::replace(int worker) {
   auto old = static_cast<std::size_t>(worker);
   Worker next;
   next.id = workers_[old].id + "'";
   next.speed = workers_[old].speed;
   next.started = now_;
   for (const Run& r : workers_[old].running)
-    in(kWay, [this, r] { end(r, Outcome::Broken, std::nullopt); });
+    in(kWay, [this, r] { end(r, Outcome::ConnectionReset, std::nullopt); });
   vanish(worker);
   workers_[old].listed = false;
   changed(old);
@@ -513,7 +515,7 @@
   changed(workers_.size() - 1);
 }
 
-void FleetWorld::silent(int worker, bool silent) {
+void FleetSimulation::silent(int worker, bool silent) {
   Worker& w = workers_[static_cast<std::size_t>(worker)];
   w.silent = silent;
   for (Run run : std::exchange(w.done, {})) {
@@ -525,12 +527,12 @@
   begin_next(static_cast<std::size_t>(worker));
 }
 
-void FleetWorld::cut(int first, int last, bool cut) {
+void FleetSimulation::cut(int first, int last, bool cut) {
   for (int i = first; i <= last; ++i)
     nodes_[static_cast<std::size_t>(i)].apart = cut;
 }
 
-void FleetWorld::make_bad(int worker, double fails, double speed) {
+void FleetSimulation::make_bad(int worker, double fails, double speed) {
   Worker& w = workers_[static_cast<std::size_t>(worker)];
   w.fails = fails;
   w.speed *= speed;
@@ -538,17 +540,17 @@
 
 // ---- Discovery ----
 
-void FleetWorld::changed(std::size_t worker) {
+void FleetSimulation::changed(std::size_t worker) {
   in(kNotice, [this, worker] {
     changes_.emplace_back(++revision_, worker);
     for (int i = 0; i < options_.dispatchers; ++i) {
       if (nodes_[static_cast<std::size_t>(i)].watching)
-        tell_list(i, ListKind::Partial, nodes_[static_cast<std::size_t>(i)].revision);
+        tell_list(i, EndpointUpdateKind::Delta, nodes_[static_cast<std::size_t>(i)].revision);
     }
   });
 }
 
-void FleetWorld::call_discovery(int node) {
+void FleetSimulation::call_discovery(int node) {
   Node& n = nodes_[static_cast<std::size_t>(node)];
   std::uint64_t life = n.life;
   auto second = static_cast<std::size_t>(now_s());
@@ -563,7 +565,9 @@
     ++counts_.failed_by_second[second];
     return in(kCallPatience, [this, node, life] {
       if (nodes_[static_cast<std::size_t>(node)].life == life)
-        feed(node, [&](auto& d, auto& out) { d.on_list(now_, ListKind::Error, {}, out); });
+        feed(node, [&](auto& d, auto& out) {
+          d.on_endpoint_update(now_, EndpointUpdateKind::Failed, {}, out);
+        });
     });
   }
   discovery_free_ = begins + Duration(kCallMs + kLineMs * double(lines));
@@ -573,11 +577,11 @@
     if (n.life != life)
       return;
     n.watching = true;
-    tell_list(node, ListKind::Partial, n.revision);
+    tell_list(node, EndpointUpdateKind::Delta, n.revision);
   });
 }
 
-void FleetWorld::tell_list(int node, ListKind kind, int after) {
+void FleetSimulation::tell_list(int node, EndpointUpdateKind kind, int after) {
   Node& n = nodes_[static_cast<std::size_t>(node)];
   if (!n.module)
     return;
@@ -587,12 +591,12 @@
     scheduling::WorkerEntry e;
     e.worker = w.id;
     e.size = options_.slots;
-    e.readiness = now && !w.listed ? scheduling::Readiness::Gone : scheduling::Readiness::Ready;
+    e.readiness = now && !w.listed ? scheduling::Readiness::Removed : scheduling::Readiness::Ready;
     if (now && w.started)
       e.online_since = w.started;
     entries.push_back(e);
   };
-  if (kind == ListKind::Persisted) {
+  if (kind == EndpointUpdateKind::Cached) {
     for (int i = 0; i < options_.workers; ++i)
       add(static_cast<std::size_t>(i), false);
   } else {
@@ -601,24 +605,24 @@
         add(worker, true);
     }
   }
-  if (kind != ListKind::Persisted)
+  if (kind != EndpointUpdateKind::Cached)
     n.revision = revision_;
-  feed(node, [&](auto& d, auto& out) { d.on_list(now_, kind, entries, out); });
+  feed(node, [&](auto& d, auto& out) { d.on_endpoint_update(now_, kind, entries, out); });
   if (!n.loads)
     return;
   std::vector<std::string> names;
   for (std::size_t i = 0; i < workers_.size(); ++i) {
-    if (i < static_cast<std::size_t>(options_.workers) || kind != ListKind::Persisted)
+    if (i < static_cast<std::size_t>(options_.workers) || kind != EndpointUpdateKind::Cached)
       names.push_back(workers_[i].id);
   }
   n.loads->list(names, [&](const std::string& worker, int jobs) {
-    feed(node, [&](auto& d, auto& out) { d.on_peers(now_, worker, jobs, out); });
+    feed(node, [&](auto& d, auto& out) { d.on_load_gossip(now_, worker, jobs, out); });
   });
 }
 
 // ---- News between dispatchers ----
 
-void FleetWorld::count_there(int node, std::size_t worker, int more) {
+void FleetSimulation::count_there(int node, std::size_t worker, int more) {
   Node& n = nodes_[static_cast<std::size_t>(node)];
   int jobs = n.there[worker] += more;
   if (!n.loads)
@@ -627,11 +631,11 @@
   tell(node);
 }
 
-void FleetWorld::tell(int node) {
+void FleetSimulation::tell(int node) {
   Node& n = nodes_[static_cast<std::size_t>(node)];
   if (!n.loads)
     return;
-  for (const fleet::Loads::Message& m : n.loads->due(now_)) {
+  for (const fleet::LoadGossip::Message& m : n.loads->due(now_)) {
     if (n.apart || nodes_[static_cast<std::size_t>(m.to)].apart ||
         std::bernoulli_distribution(options_.lossy)(random_))
       continue;
@@ -643,7 +647,7 @@
         return;
       heard.loads->take(
           now_, static_cast<std::size_t>(node), m.bytes, [&](const std::string& worker, int jobs) {
-            feed(m.to, [&](auto& d, auto& out) { d.on_peers(now_, worker, jobs, out); });
+            feed(m.to, [&](auto& d, auto& out) { d.on_load_gossip(now_, worker, jobs, out); });
           });
     });
   }
@@ -658,7 +662,7 @@
   });
 }
 
-void FleetWorld::look_who_knows() {
+void FleetSimulation::look_who_knows() {
   for (Worker& w : workers_) {
     if (!w.vanished || !w.listed || !w.first_failure)
       continue;
--- a/testbed/simulation/fleet_simulation.h
+++ b/testbed/simulation/fleet_simulation.h
@@ -1,4 +1,4 @@
-// Many dispatchers and their workers in one process, in virtual time, on the decision module's
+// Many dispatchers and their workers in one process, in virtual time, on the scheduler's
 // public interface and the real messages between dispatchers. A test bed for counts over a whole
 // fleet: what it costs its workers, discovery and network together, and how soon all know what one
 // has learned. It knows no site's figures and gives no score.
@@ -61,7 +61,7 @@
   double learned_at(double part) const;  // a quantile of these; -1: there are none
 };
 
-class FleetWorld {
+class FleetSimulation {
  public:
   struct Options {
     int dispatchers = 100;
@@ -78,7 +78,7 @@
     bool probes = true;         // the settings allow them
     bool thinks_alone = false;  // a bad variant: each dispatcher is told that there is no other
   };
-  explicit FleetWorld(Options options);
+  explicit FleetSimulation(Options options);
 
   double now_s() const { return (now_ - Time()) / Duration(1000); }
   void at(double seconds, std::function<void()> call);
@@ -148,8 +148,8 @@
     bool answered = false;
   };
   struct Node {
-    std::optional<scheduling::Dispatcher> module;
-    std::optional<fleet::Loads> loads;
+    std::optional<scheduling::Scheduler> module;
+    std::optional<fleet::LoadGossip> loads;
     std::uint64_t life = 0;
     bool watching = false;
     bool tells_late = false;  // of counts that fell
@@ -179,7 +179,7 @@
   void begin_next(std::size_t worker);
   void probe(int node, std::size_t worker);
   void call_discovery(int node);
-  void tell_list(int node, scheduling::ListKind kind, int after);
+  void tell_list(int node, scheduling::EndpointUpdateKind kind, int after);
   void changed(std::size_t worker);
   void tell(int node);
   void count_there(int node, std::size_t worker, int more);
--- a/testbed/simulation/membership_simulation.h
+++ b/testbed/simulation/membership_simulation.h
@@ -19,17 +19,19 @@
 
 using fleet::Duration;
 using fleet::Endpoint;
+using fleet::MembershipView;
 using fleet::State;
 using fleet::Time;
-using fleet::View;
 
 inline Endpoint at(int i) {
   return {0x7f000001U + static_cast<std::uint32_t>(i), 7000};
 }
 
-class ViewWorld {
+class MembershipSimulation {
  public:
-  ViewWorld(int n, std::uint64_t seed, double loss = 0) : loss_(loss), random_(seed) { begin(n); }
+  MembershipSimulation(int n, std::uint64_t seed, double loss = 0) : loss_(loss), random_(seed) {
+    begin(n);
+  }
   void begin(int n) {
     nodes_.resize(static_cast<std::size_t>(n));
     for (int i = 0; i < n; ++i)
@@ -37,7 +39,7 @@
   }
   void start(int i) {  // again, after a crash: without what it knew
     Node& node = nodes_[static_cast<std::size_t>(i)];
-    View::Options o;
+    MembershipView::Options o;
     o.self = at(i);
     o.incarnation = static_cast<std::uint32_t>(now_.time_since_epoch().count() / 1000) + 1;
     o.seed = random_();
@@ -47,13 +49,13 @@
       options(o);
     node.up = true;
     node.lowest = 0;
-    node.view = std::make_unique<View>(
+    node.view = std::make_unique<MembershipView>(
         o, now_, [this, i](const Endpoint& to, const std::string& bytes) { send(i, to, bytes); },
         [this](const Endpoint&, State state, std::uint32_t, bool other) {
           suspected += other && state == State::Suspect, died += other && state == State::Dead;
         });
   }
-  std::function<void(View::Options&)> options;  // of those that start from now on
+  std::function<void(MembershipView::Options&)> options;  // of those that start from now on
   void crash(int i) { nodes_[static_cast<std::size_t>(i)].up = false; }
   void stop(int i, bool stopped) { nodes_[static_cast<std::size_t>(i)].stopped = stopped; }
   void loss(double share) { loss_ = share; }
@@ -98,7 +100,7 @@
       pass(50);
     return (now_ - from).count();
   }
-  View& view(int i) { return *nodes_[static_cast<std::size_t>(i)].view; }
+  MembershipView& view(int i) { return *nodes_[static_cast<std::size_t>(i)].view; }
   Time now() const { return now_; }
   // What is made of a datagram on its way; an empty one is lost. For variants that are broken on
   // purpose.
@@ -113,7 +115,7 @@
 
  private:
   struct Node {
-    std::unique_ptr<View> view;
+    std::unique_ptr<MembershipView> view;
     std::uint32_t lowest = 0;
     bool up = true;
     bool stopped = false;
--- a/testbed/stubs/stubs.cpp
+++ b/testbed/stubs/stubs.cpp
@@ -32,7 +32,7 @@
 
 using Clock = std::chrono::steady_clock;
 constexpr std::size_t kBlock = 64 << 10;
-constexpr int kLongestSilence = 60'000;  // ms; a stand-in never waits for ever
+constexpr int kLongestSilence = 60'000;  // ms; a stub never waits for ever
 
 double ms_since(Clock::time_point t) {
   return std::chrono::duration<double, std::milli>(Clock::now() - t).count();
@@ -305,7 +305,7 @@
 }
 
 namespace {
-// Out of the way of the stand-ins of small orders, which stay on core 1 and at the usual priority.
+// Out of the way of the stubs of small orders, which stay on core 1 and at the usual priority.
 void step_back() {
   setpriority(PRIO_PROCESS, static_cast<id_t>(gettid()), 15);
   run_on(2, 3);
--- a/testbed/stubs/stubs.h
+++ b/testbed/stubs/stubs.h
@@ -1,5 +1,5 @@
-// Stand-ins for all that the dispatcher talks with, on blocking sockets of the loopback, a thread
-// each: a discovery, order workers and service clients. What a worker does with an order stands in
+// Stubs for all that the dispatcher talks with, on blocking sockets of the loopback, a thread
+// each: a discovery, workers and clients. What a worker does with an order stands in
 // the order's target, so that a test says it in one place. What each side sent and got is kept, to
 // be compared afterwards.
 #pragma once
@@ -41,13 +41,13 @@
 //   nothing ran die_in=AFTER die_out=AFTER   closes the connection after so many bytes of the
 //   upload, of its reply hang_in=AFTER hang_out=AFTER  moves nothing more after so many work=MS
 //   between the last byte and the answer core=N           serves it on that core, so that other
-//   stand-ins' work does not delay it nice=1           its threads step back behind those of other
+//   stubs' work does not delay it nice=1           its threads step back behind those of other
 //   orders, at both ends news=1           answers 202 and calls back with the result back=PORT
 //   calls back there; else to where call_back_to() said late=MS          between the two only=N
 //   does all this in its first N attempts at the order, any later one goes well
 using Query = std::map<std::string, std::uint64_t>;
 
-// What ails the stand-in for discovery, until it is told otherwise.
+// What ails the stub for discovery, until it is told otherwise.
 struct ListFault {
   enum Kind { None, Down, Slow, Few, Old, Empty } kind = None;
   int amount = 0;  // Slow: ms before each answer; Few: calls at a time, the others get 503
@@ -167,7 +167,7 @@
 };
 Answer hand_in(const std::string& address, const Order& order);
 
-// A service client that keeps its connection. `answer.status` is 0 from when that has ended.
+// A client that keeps its connection. `answer.status` is 0 from when that has ended.
 class Regular {
  public:
   explicit Regular(const std::string& address);
--- a/tests/exchanges/player.h
+++ b/tests/exchanges/player.h
@@ -175,7 +175,7 @@
 
   int givable() {
     int n = 0;
-    for (routing::CommandRef ref : app_->router().open_refs())
+    for (routing::RequestRef ref : app_->router().open_refs())
       n += app_->router().look_at(ref).has_value();
     return n;
   }
@@ -361,7 +361,7 @@
   std::map<std::string, std::string> environment_;
   features::Features features_;
   std::optional<program::App> app_;
-  std::optional<http::OpsFront> operators_;
+  std::optional<http::AdminServer> operators_;
 };
 
 }  // namespace dispatcher::testing
--- a/tests/fleet/load_gossip_test.cpp
+++ b/tests/fleet/load_gossip_test.cpp
@@ -25,7 +25,7 @@
 }
 
 // All that `from` tells of a worker now, as the first that hears of it gets it.
-std::string tells(Loads& from, double ms, const std::string& worker, int jobs) {
+std::string tells(LoadGossip& from, double ms, const std::string& worker, int jobs) {
   from.have(Time(Duration(ms)), worker, jobs);
   auto messages = from.due(Time(Duration(ms) + kLeft));  // whether it rose or fell
   return messages.empty() ? std::string() : messages[0].bytes;
@@ -37,7 +37,7 @@
 
 struct Heard {
   std::map<std::string, int> jobs;
-  Loads::Changed changed = [this](const std::string& worker, int n) {
+  LoadGossip::Changed changed = [this](const std::string& worker, int n) {
     jobs[worker] = n;
   };
 };
@@ -45,12 +45,12 @@
 // A dispatcher, the worker it is near to, and what two others that are near say of it.
 struct Three {
   std::string w = near_worker(0);
-  Loads self{0, kFleet};
+  LoadGossip self{0, kFleet};
   Heard heard;
   Heard unused;
   std::vector<int> others = (self.list({w}, heard.changed), self.listeners(w));
-  Loads first{others.at(0), kFleet};
-  Loads second{others.at(1), kFleet};
+  LoadGossip first{others.at(0), kFleet};
+  LoadGossip second{others.at(1), kFleet};
   Three() { first.list({w}, unused.changed), second.list({w}, unused.changed); }
 };
 
@@ -69,7 +69,7 @@
     CHECK(of_each[d] < 80);
   }
   CHECK(near_to("s-1", 3).size() == 3);  // in a small fleet all are near
-  Loads alone(0, 1);
+  LoadGossip alone(0, 1);
   Heard heard;
   alone.list({"s-1"}, heard.changed);
   CHECK(tells(alone, 0, "s-1", 2).empty());
@@ -82,7 +82,7 @@
   CHECK(two.size() == 3);
   CHECK(tells(t.self, 0, t.w, 2).empty());  // nothing new
   for (int d = 1; d < kFleet; ++d) {
-    Loads receiver(d, kFleet);
+    LoadGossip receiver(d, kFleet);
     Heard heard;
     receiver.list({t.w}, heard.changed);
     CHECK(receiver.take(at(0), 0, two, heard.changed));
@@ -107,18 +107,18 @@
   t.self.expire(at(10001), t.heard.changed);
   CHECK(t.heard.jobs.at(t.w) == 1);
   CHECK(take(10002, 1, none) == 0);
-  t.self.list({}, t.heard.changed);  // gone from the own list: hearsay does not bring it back
+  t.self.list({}, t.heard.changed);  // gone from the own list: gossip does not bring it back
   CHECK(take(10003, 0, three) == 0);
 }
 
 TEST_CASE("a count that fell waits while somebody is idle, and rides where a message goes anyway") {
-  Loads a(0, 3);
-  Loads b(1, 3);  // a small fleet: all are near to all
+  LoadGossip a(0, 3);
+  LoadGossip b(1, 3);  // a small fleet: all are near to all
   Heard heard;
   Heard at_b;
   a.list({"s-1", "s-2", "s-3"}, heard.changed);
   b.list({"s-1", "s-2", "s-3"}, at_b.changed);
-  auto hear = [&](const std::vector<Loads::Message>& messages) {
+  auto hear = [&](const std::vector<LoadGossip::Message>& messages) {
     for (const auto& m : messages) {
       if (m.to == 1)
         CHECK(b.take(at(0), 0, m.bytes, at_b.changed));
@@ -171,7 +171,7 @@
 }
 
 TEST_CASE("what is told of many workers at once fits the room that a seal leaves") {
-  Loads a(0, 2);
+  LoadGossip a(0, 2);
   Heard heard;
   std::vector<std::string> all;
   for (int i = 0; i < 200; ++i)
@@ -205,11 +205,12 @@
   std::vector<std::string> all;
   for (int i = 0; i < 600; ++i)
     all.push_back(worker(i));
-  Loads a(0, kFleet);
+  LoadGossip a(0, kFleet);
   Heard heard;
   a.list(all, heard.changed);
   for (const std::string& w : all) {  // it claims 15 at each, whether it is near or not
-    Loads twin(near_to(w, kFleet)[0] == 0 ? near_to(w, kFleet)[1] : near_to(w, kFleet)[0], kFleet);
+    LoadGossip twin(near_to(w, kFleet)[0] == 0 ? near_to(w, kFleet)[1] : near_to(w, kFleet)[0],
+                    kFleet);
     Heard unused;
     twin.list({w}, unused.changed);
     CHECK(a.take(at(0), 1, tells(twin, 0, w, 15), heard.changed));
--- a/tests/fleet/membership_view_property_test.cpp
+++ b/tests/fleet/membership_view_property_test.cpp
@@ -38,7 +38,7 @@
 
 // A world in which the faults have been, up to but not with the end of the last one.
 struct Troubled {
-  ViewWorld w;
+  MembershipSimulation w;
   std::vector<bool> up;
   std::vector<bool> stopped;
   int n;
@@ -109,7 +109,7 @@
     std::vector<Mail>* mail = nullptr;
   };
   std::shared_ptr<Post> post;
-  std::vector<View> views;
+  std::vector<MembershipView> views;
   std::vector<Mail> mail;
   Time now{Duration(1'000'000)};
   bool fault_done = false;
@@ -119,7 +119,7 @@
 
   explicit Branch(std::shared_ptr<Post> p) : post(std::move(p)) {
     for (int i = 0; i < 3; ++i) {
-      View::Options o;
+      MembershipView::Options o;
       o.self = at(i);
       o.others = {at(0), at(1), at(2)};
       o.incarnation = 1000;
@@ -150,7 +150,7 @@
   }
   bool agreed() const {
     for (int i = 0; i < up; ++i) {
-      const View& v = views[static_cast<std::size_t>(i)];
+      const MembershipView& v = views[static_cast<std::size_t>(i)];
       if (v.digest() != views[0].digest() || v.count(State::Suspect) > 0 ||
           v.count(State::Alive) + 1 != static_cast<std::size_t>(up))
         return false;
--- a/tests/fleet/membership_view_test.cpp
+++ b/tests/fleet/membership_view_test.cpp
@@ -36,8 +36,8 @@
 
 // Halves that part and meet again, and one that sleeps through its death: does a fleet with this
 // fault in it settle, in four times the time that it may take?
-bool settles(const std::function<void(ViewWorld&)>& broken) {
-  ViewWorld w(8, 3);
+bool settles(const std::function<void(MembershipSimulation&)>& broken) {
+  MembershipSimulation w(8, 3);
   broken(w);
   if (w.until_agreed(bound(8)) >= bound(8))
     return false;
@@ -65,7 +65,7 @@
            {0.0, n > 8 ? 0.05 : 0.2}) {  // with more of both somebody is always in doubt
         INFO(n << " members, seed " << seed << ", loss " << loss);
         double time = bound(n) * (loss > 0 ? 2 : 1);
-        ViewWorld w(n, seed, loss);
+        MembershipSimulation w(n, seed, loss);
         REQUIRE(w.until_agreed(time) < time);
         w.crash(1);
         w.pass(50);
@@ -94,9 +94,9 @@
 }
 
 TEST_CASE("a fleet that lacks one part of what it stands on does not settle") {
-  REQUIRE(settles([](ViewWorld&) {}));
+  REQUIRE(settles([](MembershipSimulation&) {}));
   SECTION("nobody probes the dead") {
-    CHECK_FALSE(settles([](ViewWorld& w) {
+    CHECK_FALSE(settles([](MembershipSimulation& w) {
       w.tamper = [&w](int from, int to, const std::string& bytes) {
         auto m = w.view(from).members().find(at(to));
         return bytes[1] == 1 && m->second.state == State::Dead ? std::string() : bytes;
@@ -104,7 +104,7 @@
     }));
   }
   SECTION("nobody hears what is said of itself, and so refutes nothing") {
-    CHECK_FALSE(settles([](ViewWorld& w) {
+    CHECK_FALSE(settles([](MembershipSimulation& w) {
       w.tamper = [](int, int to, const std::string& bytes) {
         std::string body = bytes.substr(0, kHead);
         for (std::size_t e = kHead; e + kCheck < bytes.size(); e += kEntry) {
@@ -116,7 +116,7 @@
     }));
   }
   SECTION("a refutation does not raise the incarnation") {
-    CHECK_FALSE(settles([](ViewWorld& w) {
+    CHECK_FALSE(settles([](MembershipSimulation& w) {
       w.tamper = [](int from, int, const std::string& bytes) {
         std::string body = bytes.substr(0, bytes.size() - kCheck);
         std::uint32_t first = 5001;  // of all, at the start of the world
@@ -136,7 +136,7 @@
 }
 
 TEST_CASE("one that cannot be reached by all of them, but by some, stays alive") {
-  ViewWorld w(8, 5);
+  MembershipSimulation w(8, 5);
   REQUIRE(w.until_agreed(bound(8)) < bound(8));
   w.cut = [](int a, int b) {
     return (a == 0 && b == 1) || (a == 1 && b == 0);
@@ -149,7 +149,7 @@
 }
 
 TEST_CASE("one that was stopped and wakes refutes its death, and does not hold the others dead") {
-  ViewWorld w(8, 6);
+  MembershipSimulation w(8, 6);
   REQUIRE(w.until_agreed(bound(8)) < bound(8));
   std::uint32_t before = w.view(2).incarnation();
   w.stop(2, true);
@@ -163,7 +163,7 @@
 }
 
 TEST_CASE("who leaves is told to have left, and is not looked for") {
-  ViewWorld w(8, 7);
+  MembershipSimulation w(8, 7);
   REQUIRE(w.until_agreed(bound(8)) < bound(8));
   w.view(3).leave(w.now());
   w.crash(3);
@@ -174,7 +174,7 @@
 
 TEST_CASE(
     "with a fifth of all messages lost and members stopped for a second nobody is held dead") {
-  ViewWorld w(20, 8, 0.2);
+  MembershipSimulation w(20, 8, 0.2);
   REQUIRE(w.until_agreed(2 * bound(20)) < 2 * bound(20));
   std::size_t dead = 0;
   for (int minute = 0; minute < 3; ++minute) {
@@ -192,7 +192,7 @@
 
 TEST_CASE("what a member says at rest does not grow with the fleet") {
   for (int n : {16, 100}) {
-    ViewWorld w(n, 9);
+    MembershipSimulation w(n, 9);
     REQUIRE(w.until_agreed(bound(n)) < bound(n));
     w.pass(2 * bound(n));
     long sent = w.sent;
@@ -205,8 +205,8 @@
 }
 
 TEST_CASE("a few seeds are enough to join, and who is gone is forgotten") {
-  ViewWorld w(12, 10);
-  w.options = [](View::Options& o) {
+  MembershipSimulation w(12, 10);
+  w.options = [](MembershipView::Options& o) {
     std::erase_if(o.others, [](const Endpoint& e) { return e != at(0) && e != at(1); });
     o.forget = Duration(60'000);
   };
@@ -240,7 +240,7 @@
 }
 
 TEST_CASE("who comes and goes without end is left alone until it stays") {
-  ViewWorld w(8, 12);
+  MembershipSimulation w(8, 12);
   REQUIRE(w.until_agreed(bound(8)) < bound(8));
   for (int i = 0; i < 3; ++i) {
     CHECK_FALSE(w.view(0).damped(w.now(), at(5)));
@@ -259,9 +259,9 @@
 }
 
 TEST_CASE("what rides along comes whole, and a datagram stays as short as it must") {
-  ViewWorld w(40, 13);
+  MembershipSimulation w(40, 13);
   long carried = 0;
-  w.options = [&](View::Options& o) {
+  w.options = [&](MembershipView::Options& o) {
     o.longest = 224;
     o.riding = [](const Endpoint&, std::size_t room) {
       return std::string(room, 'x');
@@ -285,16 +285,16 @@
   auto send = [&](const Endpoint&, const std::string& bytes) {
     sent.push_back(bytes);
   };
-  View::Options o;
+  MembershipView::Options o;
   o.self = at(0);
   o.others = {at(1)};
-  View view(o, Time{}, send, [](const Endpoint&, State, std::uint32_t, bool) {});
+  MembershipView view(o, Time{}, send, [](const Endpoint&, State, std::uint32_t, bool) {});
   for (int i = 1; sent.empty(); ++i)
     view.tick(Time(Duration(50 * i)));
-  View::Options theirs;
+  MembershipView::Options theirs;
   theirs.self = at(1);
   theirs.others = {at(0)};
-  View other(theirs, Time{}, send, [](const Endpoint&, State, std::uint32_t, bool) {});
+  MembershipView other(theirs, Time{}, send, [](const Endpoint&, State, std::uint32_t, bool) {});
   std::string good = sent[0];
   CHECK(other.take(Time{}, at(0), good));
   std::uint64_t before = other.digest();
@@ -313,7 +313,7 @@
   // Bytes at random, under a right check: whatever is taken leaves a table that can be told and
   // compared.
   std::mt19937_64 random(11);
-  Loads loads(0, 3);
+  LoadGossip loads(0, 3);
   loads.list({"s-1", "s-2"}, [](const std::string&, int) {});
   for (int i = 0; i < 100'000; ++i) {
     std::string body = random() % 2 ? good.substr(0, kHead) : std::string(random() % 240, '\0');
@@ -347,7 +347,7 @@
     "three minutes of losing a fifth of all messages, with stops of a second: nobody is held "
     "dead") {
   constexpr int kMembers = 60;
-  ViewWorld w(kMembers, 3);
+  MembershipSimulation w(kMembers, 3);
   REQUIRE(w.until_agreed(bound_ms(kMembers)) < bound_ms(kMembers));
   w.loss(0.2);
   w.suspected = w.died = 0;
--- a/tests/fleet/message_authenticator_test.cpp
+++ b/tests/fleet/message_authenticator_test.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr Seal::Wall kNow = 1'800'000'000'000;
+constexpr MessageAuthenticator::Wall kNow = 1'800'000'000'000;
 const Endpoint kA{0x7f000001, 7000}, kB{0x7f000002, 7000}, kC{0x7f000003, 7000};
 
 Key key(unsigned char id, unsigned char fill) {
@@ -26,10 +26,12 @@
 }
 
 struct Pair {
-  Seal a{{key(1, 7)}, kA, kNow};
-  Seal b{{key(1, 7)}, kB, kNow};
+  MessageAuthenticator a{{key(1, 7)}, kA, kNow};
+  MessageAuthenticator b{{key(1, 7)}, kB, kNow};
   std::string_view plain;
-  Seal::Fault hears(const std::string& sealed, Seal::Wall now = kNow, const Endpoint& from = kA) {
+  MessageAuthenticator::Fault hears(const std::string& sealed,
+                                    MessageAuthenticator::Wall now = kNow,
+                                    const Endpoint& from = kA) {
     return b.open(now, from, sealed, plain);
   }
 };
@@ -39,27 +41,29 @@
 TEST_CASE("what is sealed opens once, where it was meant for, with every byte as it was") {
   Pair p;
   std::string sealed = p.a.close(kNow, kB, "what one says");
-  CHECK(sealed.size() == 13 + Seal::kOverhead);
+  CHECK(sealed.size() == 13 + MessageAuthenticator::kOverhead);
   for (std::size_t i = 0; i < sealed.size(); ++i) {
     for (int bit = 0; bit < 8; ++bit) {
       std::string spoilt = sealed;
       spoilt[i] = static_cast<char>(spoilt[i] ^ 1 << bit);
-      CHECK(p.hears(spoilt) != Seal::Fault::None);
-      CHECK(p.hears(sealed.substr(0, i)) != Seal::Fault::None);
+      CHECK(p.hears(spoilt) != MessageAuthenticator::Fault::None);
+      CHECK(p.hears(sealed.substr(0, i)) != MessageAuthenticator::Fault::None);
     }
   }
-  CHECK(p.hears(sealed, kNow, kC) == Seal::Fault::Forged);  // somebody else sends it on
-  Seal c({key(1, 7)}, kC, kNow);
-  CHECK(c.open(kNow, kA, sealed, p.plain) == Seal::Fault::Forged);  // or to somebody else
-  REQUIRE(p.hears(sealed) == Seal::Fault::None);
+  CHECK(p.hears(sealed, kNow, kC) ==
+        MessageAuthenticator::Fault::Forged);  // somebody else sends it on
+  MessageAuthenticator c({key(1, 7)}, kC, kNow);
+  CHECK(c.open(kNow, kA, sealed, p.plain) ==
+        MessageAuthenticator::Fault::Forged);  // or to somebody else
+  REQUIRE(p.hears(sealed) == MessageAuthenticator::Fault::None);
   CHECK(p.plain == "what one says");
-  CHECK(p.hears(sealed) == Seal::Fault::Replayed);
-  Seal foreign({key(1, 8)}, kA, kNow);
-  Seal other({key(2, 7)}, kA, kNow);
-  CHECK(p.hears(foreign.close(kNow, kB, "x")) == Seal::Fault::Forged);
-  CHECK(p.hears(other.close(kNow, kB, "x")) == Seal::Fault::UnknownKey);
-  CHECK(p.hears("") == Seal::Fault::NotSealed);
-  CHECK(p.hears(std::string(200, '\x21')) == Seal::Fault::NotSealed);
+  CHECK(p.hears(sealed) == MessageAuthenticator::Fault::Replayed);
+  MessageAuthenticator foreign({key(1, 8)}, kA, kNow);
+  MessageAuthenticator other({key(2, 7)}, kA, kNow);
+  CHECK(p.hears(foreign.close(kNow, kB, "x")) == MessageAuthenticator::Fault::Forged);
+  CHECK(p.hears(other.close(kNow, kB, "x")) == MessageAuthenticator::Fault::UnknownKey);
+  CHECK(p.hears("") == MessageAuthenticator::Fault::NotSealed);
+  CHECK(p.hears(std::string(200, '\x21')) == MessageAuthenticator::Fault::NotSealed);
 }
 
 TEST_CASE("what comes out of order counts, within a window, and what was recorded does not, ever") {
@@ -67,49 +71,53 @@
   std::vector<std::string> sent;
   for (int i = 0; i < 200; ++i)
     sent.push_back(p.a.close(kNow, kB, std::to_string(i)));
-  CHECK(p.hears(sent[100]) == Seal::Fault::None);
+  CHECK(p.hears(sent[100]) == MessageAuthenticator::Fault::None);
   for (int i : {99, 37, 35, 98, 37, 102, 101, 199, 135, 134}) {
     bool again = i == 37 && p.plain == "98";
     bool old = i == 35 || i == 134;
-    CHECK(p.hears(sent[i]) == (again || old ? Seal::Fault::Replayed : Seal::Fault::None));
+    CHECK(p.hears(sent[i]) == (again || old ? MessageAuthenticator::Fault::Replayed
+                                            : MessageAuthenticator::Fault::None));
   }
   SECTION("also where the receiver has started again and knows of no counter") {
-    Seal fresh({key(1, 7)}, kB, kNow + 31'000);
-    CHECK(fresh.open(kNow + 31'000, kA, sent[150], p.plain) == Seal::Fault::Stale);
-    CHECK(fresh.open(kNow - 31'000, kA, sent[150], p.plain) == Seal::Fault::Stale);
+    MessageAuthenticator fresh({key(1, 7)}, kB, kNow + 31'000);
+    CHECK(fresh.open(kNow + 31'000, kA, sent[150], p.plain) == MessageAuthenticator::Fault::Stale);
+    CHECK(fresh.open(kNow - 31'000, kA, sent[150], p.plain) == MessageAuthenticator::Fault::Stale);
   }
   SECTION("a sender that has started again begins anew, and what it said before is over") {
-    Seal again({key(1, 7)}, kA, kNow + 2000);
-    CHECK(p.hears(again.close(kNow + 2000, kB, "x"), kNow + 2000) == Seal::Fault::None);
-    CHECK(p.hears(sent[160], kNow + 2000) == Seal::Fault::Replayed);
+    MessageAuthenticator again({key(1, 7)}, kA, kNow + 2000);
+    CHECK(p.hears(again.close(kNow + 2000, kB, "x"), kNow + 2000) ==
+          MessageAuthenticator::Fault::None);
+    CHECK(p.hears(sent[160], kNow + 2000) == MessageAuthenticator::Fault::Replayed);
   }
   SECTION("one whose clock was put back is heard once the old time can no longer be replayed") {
-    Seal back({key(1, 7)}, kA, kNow - 10'000);
-    CHECK(p.hears(back.close(kNow + 1000, kB, "x"), kNow + 1000) == Seal::Fault::Replayed);
-    CHECK(p.hears(back.close(kNow + 61'000, kB, "y"), kNow + 61'000) == Seal::Fault::None);
+    MessageAuthenticator back({key(1, 7)}, kA, kNow - 10'000);
+    CHECK(p.hears(back.close(kNow + 1000, kB, "x"), kNow + 1000) ==
+          MessageAuthenticator::Fault::Replayed);
+    CHECK(p.hears(back.close(kNow + 61'000, kB, "y"), kNow + 61'000) ==
+          MessageAuthenticator::Fault::None);
   }
 }
 
 TEST_CASE("a key is exchanged while both old and new are spoken") {
   Pair p;
   p.b.exchange({key(1, 7), key(2, 9)});
-  CHECK(p.hears(p.a.close(kNow, kB, "old")) == Seal::Fault::None);
+  CHECK(p.hears(p.a.close(kNow, kB, "old")) == MessageAuthenticator::Fault::None);
   p.a.exchange({key(2, 9), key(1, 7)});
-  CHECK(p.hears(p.a.close(kNow, kB, "new")) == Seal::Fault::None);
+  CHECK(p.hears(p.a.close(kNow, kB, "new")) == MessageAuthenticator::Fault::None);
   p.b.exchange({key(2, 9)});
-  CHECK(p.hears(p.a.close(kNow, kB, "new")) == Seal::Fault::None);
+  CHECK(p.hears(p.a.close(kNow, kB, "new")) == MessageAuthenticator::Fault::None);
   p.a.exchange({key(1, 7)});
-  CHECK(p.hears(p.a.close(kNow, kB, "too late")) == Seal::Fault::UnknownKey);
+  CHECK(p.hears(p.a.close(kNow, kB, "too late")) == MessageAuthenticator::Fault::UnknownKey);
 }
 
 TEST_CASE("a flood of sessions that were real does not fill the memory") {
-  Seal b({key(1, 7)}, kB, kNow);
+  MessageAuthenticator b({key(1, 7)}, kB, kNow);
   std::string_view plain;
   for (std::uint32_t i = 0; i < 5000; ++i) {
     Endpoint from{0x7f010000 + i, 7000};
-    Seal a({key(1, 7)}, from, kNow + i * 1000);
+    MessageAuthenticator a({key(1, 7)}, from, kNow + i * 1000);
     REQUIRE(b.open(kNow + i * 1000, from, a.close(kNow + i * 1000, kB, "x"), plain) ==
-            Seal::Fault::None);
+            MessageAuthenticator::Fault::None);
   }
   CHECK(b.senders() <= 1024);
 }
--- a/tests/fuzz/datagrams.cpp
+++ b/tests/fuzz/datagrams.cpp
@@ -20,10 +20,10 @@
 }
 
 void view(std::string_view in) {
-  View::Options o;
+  MembershipView::Options o;
   o.self = {1, 1};
   o.others = {{2, 1}, {3, 1}};
-  View v(
+  MembershipView v(
       o, Time{}, [](const Endpoint&, const std::string& bytes) { must(bytes.size() <= 256); },
       [](const Endpoint&, State, std::uint32_t, bool) {});
   // Several datagrams, each after a byte of its length.
@@ -41,7 +41,7 @@
 }
 
 void loads(std::string_view in) {
-  Loads l(0, 3);
+  LoadGossip l(0, 3);
   auto changed = [](const std::string&, int jobs) {
     must(jobs >= 0 && jobs <= kMostThere);
   };
@@ -53,11 +53,14 @@
 
 void seal(std::string_view in) {
   Key key;
-  Seal a({key}, {1, 1}, 1000);
+  MessageAuthenticator a({key}, {1, 1}, 1000);
   b({key}, {2, 1}, 1000);
   std::string_view plain;
-  must(b.open(1000, {1, 1}, in, plain) != Seal::Fault::None);  // nobody guesses a hash
-  must(b.open(1000, {1, 1}, a.close(1000, {2, 1}, in), plain) == Seal::Fault::None && plain == in);
+  must(b.open(1000, {1, 1}, in, plain) !=
+       MessageAuthenticator::Fault::None);  // nobody guesses a hash
+  must(b.open(1000, {1, 1}, a.close(1000, {2, 1}, in), plain) ==
+           MessageAuthenticator::Fault::None &&
+       plain == in);
 }
 
 }  // namespace
--- a/tests/hot_restart/hot_restart_test.cpp
+++ b/tests/hot_restart/hot_restart_test.cpp
@@ -1,5 +1,5 @@
 // Upgrades. First who takes new jobs, over every order of what can happen to the two processes and
-// their link; then the program as two processes, between stand-ins on real sockets, with verdicts
+// their link; then the program as two processes, between stubs on real sockets, with verdicts
 // by order and count.
 #include <csignal>
 
@@ -15,8 +15,8 @@
 #include "testbed/stubs/stubs.h"
 
 using namespace dispatcher;
-using hot_restart::Elder;
-using hot_restart::Heir;
+using hot_restart::IncomingProcess;
+using hot_restart::OutgoingProcess;
 
 namespace {
 
@@ -24,8 +24,8 @@
 // does with the listening socket.
 struct World {
   enum class Said { Hello, Welcome, Refusal, Ready, Yours, News, Garbage };
-  Elder elder{{"n0", "a:1"}};
-  Heir heir;
+  OutgoingProcess elder{{"n0", "a:1"}};
+  IncomingProcess heir;
   std::deque<Said> to_elder;
   std::deque<Said> to_heir;
   bool linked = false;
@@ -44,43 +44,43 @@
     if (heir_lives)
       heir_heard_end = false;
   }
-  void act(Elder::Do what) {
+  void act(OutgoingProcess::Do what) {
     switch (what) {
-      case Elder::Do::Nothing:
+      case OutgoingProcess::Do::Nothing:
         return;
-      case Elder::Do::Welcome:
+      case OutgoingProcess::Do::Welcome:
         return say(to_heir, Said::Welcome);
-      case Elder::Do::Refuse:
+      case OutgoingProcess::Do::Refuse:
         return say(to_heir, Said::Refusal);
-      case Elder::Do::Yield:
+      case OutgoingProcess::Do::Yield:
         elder_accepts = false;
         return say(to_heir, Said::Yours);
-      case Elder::Do::TakeBack:
+      case OutgoingProcess::Do::TakeBack:
         elder_accepts = true;
         return;
-      case Elder::Do::HangUp:
+      case OutgoingProcess::Do::HangUp:
         cut();
         elder_heard_end = true;
         to_elder.clear();
         return;
     }
   }
-  void act(Heir::Do what) {
+  void act(IncomingProcess::Do what) {
     switch (what) {
-      case Heir::Do::Nothing:
+      case IncomingProcess::Do::Nothing:
         return;
-      case Heir::Do::SayReady:
+      case IncomingProcess::Do::SayReady:
         return say(to_elder, Said::Ready);
-      case Heir::Do::Serve:
-      case Heir::Do::ServeAlone:
+      case IncomingProcess::Do::Serve:
+      case IncomingProcess::Do::ServeAlone:
         heir_accepts = true;
         return;
-      case Heir::Do::HangUp:
+      case IncomingProcess::Do::HangUp:
         cut();
         heir_heard_end = true;
         to_heir.clear();
         return act(heir.ended());
-      case Heir::Do::AskAgain:
+      case IncomingProcess::Do::AskAgain:
         heir_waits = true;
         return;
     }
@@ -150,11 +150,11 @@
       case 8:
         return garble(to_heir);
       case 9:  // what the two talk about once the heir serves
-        if (!linked || heir.state() != Heir::State::Serving || !to_elder.empty())
+        if (!linked || heir.state() != IncomingProcess::State::Serving || !to_elder.empty())
           return false;
         return say(to_elder, Said::News), true;
       default:
-        if (!linked || elder.state() != Elder::State::Yielded || to_heir.size() > 1)
+        if (!linked || elder.state() != OutgoingProcess::State::Yielded || to_heir.size() > 1)
           return false;
         return say(to_heir, Said::News), true;
     }
@@ -208,13 +208,13 @@
 }
 
 TEST_CASE("another version and another dispatcher are turned away") {
-  Elder elder({"n0", "a:1"});
-  CHECK(elder.hello(hot_restart::kVersion + 1, {"n0", "a:1"}) == Elder::Do::Refuse);
-  CHECK(elder.hello(hot_restart::kVersion, {"n1", "a:1"}) == Elder::Do::Refuse);
-  CHECK(elder.hello(hot_restart::kVersion, {"n0", "a:2"}) == Elder::Do::Refuse);
+  OutgoingProcess elder({"n0", "a:1"});
+  CHECK(elder.hello(hot_restart::kVersion + 1, {"n0", "a:1"}) == OutgoingProcess::Do::Refuse);
+  CHECK(elder.hello(hot_restart::kVersion, {"n1", "a:1"}) == OutgoingProcess::Do::Refuse);
+  CHECK(elder.hello(hot_restart::kVersion, {"n0", "a:2"}) == OutgoingProcess::Do::Refuse);
   CHECK(elder.free());
-  Heir heir;
-  CHECK(heir.refused() == Heir::Do::ServeAlone);
+  IncomingProcess heir;
+  CHECK(heir.refused() == IncomingProcess::Do::ServeAlone);
 }
 
 // ---- As processes ----
@@ -320,7 +320,7 @@
   Regular busy(s.dispatcher.address());
   CHECK(half.hand_in(s.order()).status == 200);
   half.begin("POST /api?news=1 HTTP/1.1\r\nX-Correlation-Id: 00000000000f0001\r\nX-Service-Cl");
-  // Its job begins at the old process and ends after the change; the order worker calls the address
+  // Its job begins at the old process and ends after the change; the worker calls the address
   // that both share.
   std::thread slow([&] { CHECK(busy.hand_in(s.order("news=1&work=1500")).status == 200); });
   s.until(
--- a/tests/loopback/request_races_test.cpp
+++ b/tests/loopback/request_races_test.cpp
@@ -22,7 +22,7 @@
 };  // of the first attempt: its last byte held back, written, answered 202
 
 struct Scene final : testing::Loopback {
-  struct Line {  // to the order worker
+  struct Line {  // to the worker
     Wire wire;
     protocol::Parser parser{protocol::Parser::Kind::Request};
     std::string id;  // of the submit that came on it
@@ -357,7 +357,7 @@
   CHECK(s.twice == 0);
   CHECK(s.too_late == 0);
   CHECK(s.told_over <= 0);
-  CHECK(s.app->router().open_commands() == 0);
+  CHECK(s.app->router().open_requests() == 0);
   if (s.client_left) {
     CHECK(s.begun == begun_before_left);
     CHECK(s.out.empty());  // given up where it had begun
--- a/tests/loopback/watch_races_test.cpp
+++ b/tests/loopback/watch_races_test.cpp
@@ -1,6 +1,6 @@
 // Every two of what can happen to the watch on discovery, in one turn of the loop and apart, on
 // real sockets of the loopback and an injected clock. Whatever crosses, a change counts 6 s after
-// discovery had it and could be reached: from then on an order worker that is leaving gets nothing.
+// discovery had it and could be reached: from then on an worker that is leaving gets nothing.
 #include <functional>
 #include <list>
 
@@ -18,7 +18,7 @@
 
 struct Setting {
   const char* name;
-  int balancers;
+  int dispatchers;
   bool pushed;
 };
 
@@ -38,8 +38,8 @@
     config = example();
     config["discovery"] = here.address;
     config["known"]["targets"][0]["endpoint"] = worker.address;
-    config["settings"]["Balancers"] = setting.balancers;
-    config["settings"]["Index"] = setting.balancers - 1;  // whose watch waits longest
+    config["settings"]["Balancers"] = setting.dispatchers;
+    config["settings"]["Index"] = setting.dispatchers - 1;  // whose watch waits longest
     if (setting.pushed)
       config["settings"]["Discovery"] = "automatic";
     start(config);
--- a/tests/operations/admin_handler_test.cpp
+++ b/tests/operations/admin_handler_test.cpp
@@ -14,8 +14,9 @@
   return Time(Duration(ms));
 }
 
-protocol::NameList list(bool whole, Readiness readiness, double boot = 0, const char* uid = "s-a") {
-  protocol::Listed l;
+protocol::EndpointUpdate list(bool whole, Readiness readiness, double boot = 0,
+                              const char* uid = "s-a") {
+  protocol::WorkerEndpoint l;
   l.uid = uid;
   l.address = "10.1.0.1:5000";
   l.entry.readiness = readiness;
@@ -28,18 +29,18 @@
 
 TEST_CASE("an instance out by hand drains in every list until the call back") {
   for (bool whole : {true, false}) {
-    for (Readiness told : {Readiness::Ready, Readiness::Terminating, Readiness::Gone}) {
-      operations::Roster r;
+    for (Readiness told : {Readiness::Ready, Readiness::Draining, Readiness::Removed}) {
+      operations::CordonList r;
       r.apply(list(true, Readiness::Ready));
       REQUIRE(r.cordon("s-a", at(100)));
       auto seen = r.apply(list(whole, told)).entries;
       REQUIRE(seen.size() == 1);
-      CHECK(seen[0].entry.readiness == (told == Readiness::Gone ? told : Readiness::Terminating));
-      CHECK(r.listed().size() == (told == Readiness::Gone ? 0 : 1));
+      CHECK(seen[0].entry.readiness == (told == Readiness::Removed ? told : Readiness::Draining));
+      CHECK(r.listed().size() == (told == Readiness::Removed ? 0 : 1));
       // Known by hand although no list names it: again, and back.
       CHECK(r.cordon("s-a", at(200)));
       CHECK(r.apply(list(false, Readiness::Ready, 300)).entries[0].entry.readiness ==
-            Readiness::Terminating);
+            Readiness::Draining);
       auto back = r.uncordon("s-a", at(400));
       REQUIRE(back);
       CHECK(back->entries.at(0).entry.readiness == Readiness::Ready);
@@ -60,7 +61,7 @@
                   Row{50, 50, 400, 400},     // only of one before the call out
                   Row{250, 250, 250, 250},   // in time
                   Row{0, 600, 400, 600}}) {  // of another one since
-    operations::Roster r;
+    operations::CordonList r;
     r.apply(list(true, Readiness::Ready, 50));
     r.cordon("s-a", at(100));
     if (row.boot > 0)
@@ -73,12 +74,12 @@
 }
 
 TEST_CASE("of an instance that nobody knows nothing is remembered") {
-  operations::Roster r;
+  operations::CordonList r;
   r.apply(list(true, Readiness::Ready));
   CHECK_FALSE(r.cordon("s-b", at(100)));
   CHECK_FALSE(r.uncordon("s-b", at(100)));
   CHECK(r.apply(list(false, Readiness::Ready, 0, "s-b")).entries[0].entry.readiness ==
         Readiness::Ready);
-  r.apply(list(false, Readiness::Gone));
+  r.apply(list(false, Readiness::Removed));
   CHECK_FALSE(r.cordon("s-a", at(200)));  // gone, and not out
 }
--- a/tests/protocol/parts_test.cpp
+++ b/tests/protocol/parts_test.cpp
@@ -99,9 +99,9 @@
 TEST_CASE("the configuration fills the module's settings") {
   program::Config c = config();
   REQUIRE(c.settings.classes.size() == 2);
-  CHECK(c.settings.classes[0].effect == scheduling::Effect::Unsafe);
-  CHECK(c.settings.classes[0].stretch == 2.5);
-  CHECK(c.settings.classes[1].memory_span == scheduling::Duration(15000));
+  CHECK(c.settings.classes[0].idempotency == scheduling::Idempotency::NonIdempotent);
+  CHECK(c.settings.classes[0].objective_work_factor == 2.5);
+  CHECK(c.settings.classes[1].deduplication_window == scheduling::Duration(15000));
   CHECK(c.settings.seed == 0x8c1f30d27a5be964);
   CHECK(c.words.columns.x0_is_free_slots);
   CHECK(c.words.tenants == std::vector<std::string>{"lanting, bento"});
@@ -200,25 +200,27 @@
   CHECK(program::share_descriptors(c).commands == 10);
 }
 
-// The module takes a changed start for a restart: the same boot_ms must always give the same time.
+// The scheduler takes a changed start for a restart: the same boot_ms must always give the same
+// time.
 TEST_CASE("a wall-clock start becomes a steady one") {
-  protocol::Vocabulary words = config().words;
+  protocol::IdentifierTables words = config().words;
   words.wall_to_steady = transport::Duration(-500);
-  auto list = protocol::read_names(protocol::parse_json(R"({"rev":1,"all":true,"targets":[
+  auto list =
+      protocol::parse_endpoint_update(protocol::parse_json(R"({"rev":1,"all":true,"targets":[
         {"uid":"a","endpoint":"h:1","state":"up","boot_ms":1700},{"uid":"b","endpoint":"h:2","state":"asleep","boot_ms":0}]})"),
-                                   words);
+                                      words);
   CHECK(list.entries[0].entry.online_since == transport::Time(transport::Duration(1200)));
   CHECK_FALSE(list.entries[1].entry.online_since);
-  CHECK(list.entries[1].entry.readiness == scheduling::Readiness::Terminating);
+  CHECK(list.entries[1].entry.readiness == scheduling::Readiness::Draining);
 }
 
 TEST_CASE("a load report that makes no sense is dropped") {
-  protocol::Vocabulary words = config().words;
+  protocol::IdentifierTables words = config().words;
   auto slots = [&](const std::string& header) {
     Message m;
     m.status = 200;
     m.headers = {{"X-Backend-Load", header}};
-    return protocol::read_probe_answer(m, words).report.free_slots;
+    return protocol::parse_health_check_answer(m, words).report.free_slots;
   };
   CHECK(slots("TEXT fail_rate=0.1, q=2, x0=1.5") == 1.5);
   CHECK_FALSE(slots("TEXT x0=-1"));
@@ -228,7 +230,7 @@
   Message json;
   json.status = 200;
   json.body = R"({"x0":2,"q":0})";
-  CHECK(protocol::read_probe_answer(json, words).report.free_slots == 2);
+  CHECK(protocol::parse_health_check_answer(json, words).report.free_slots == 2);
 }
 
 TEST_CASE("the hint is in microseconds") {
@@ -239,11 +241,11 @@
                {"X-Time-Left-Ms", "480"},
                {"X-Weight-Hint", "2500"},
                {"X-Facts", "slots=2, colour=3"}};
-  auto c = protocol::read_command(std::move(m), config().words);
-  CHECK(c.request.hint == scheduling::Duration(2.5));
+  auto c = protocol::parse_client_request(std::move(m), config().words);
+  CHECK(c.request.cost_hint == scheduling::Duration(2.5));
   CHECK(c.request.tenant == 0);
   CHECK(c.request.slots == 2);
-  CHECK(c.request.patience == scheduling::Duration(480));
+  CHECK(c.request.timeout == scheduling::Duration(480));
 }
 
 TEST_CASE("a slot's old number finds nothing") {
@@ -336,23 +338,23 @@
 
 TEST_CASE("what settings permit is told, and each contradiction in them") {
   using namespace dispatcher::settings;
-  using scheduling::Effect;
+  using scheduling::Idempotency;
   scheduling::Settings s;
   scheduling::ClassSettings c;
   c.name = "book";
-  c.effect = Effect::Keyed;
-  c.group = scheduling::Group::Zone;
-  c.memory_span = scheduling::Duration(10000);
+  c.idempotency = Idempotency::KeyedIdempotent;
+  c.deduplication_scope = scheduling::DeduplicationScope::Zone;
+  c.deduplication_window = scheduling::Duration(10000);
   c.deadline = scheduling::Duration(8000);
-  c.aim = scheduling::Duration(500);
-  c.worth = 10;
+  c.latency_objective = scheduling::Duration(500);
+  c.priority_weight = 10;
   s.classes = {c};
   s.max_attempts = 3;
-  s.may_probe = s.cancelling = true;
-  s.reports = scheduling::ReportMode::OnProbe;
+  s.health_checks_allowed = s.cancellation_allowed = true;
+  s.reports = scheduling::LoadReportMode::OnProbe;
   s.connect_timeout = scheduling::Duration(250);
-  s.ramp_time = scheduling::Duration(9000);
-  s.tip_multiple = 3;
+  s.slow_start_duration = scheduling::Duration(9000);
+  s.overload_multiple = 3;
   const Place place{1024, 192, false, false, 0, 0};
   REQUIRE(contradictions(s, place).empty());
   CHECK(describe(s, place).find("in its zone, 9498 ms from its first send") != std::string::npos);
@@ -364,22 +366,22 @@
   };
   for (const Row& row : std::vector<Row>{
            {"too short for a repeat",
-            [](Set&x, Place&) { x.classes[0].memory_span = scheduling::Duration(500); }},
+            [](Set&x, Place&) { x.classes[0].deduplication_window = scheduling::Duration(500); }},
            {"any time", [](Set&x, Place&) { x.connect_timeout.reset(); }},
-           {"given up after", [](Set&x, Place&) { x.classes[0].aim = scheduling::Duration(9000); }},
-           {"worth more than one in time", [](Set&x, Place&) { x.classes[0].late_worth = 1.5; }},
-           {"worth nothing", [](Set&x, Place&) { x.classes[0].worth = 0; }},
-           {"one attempt is all", [](Set&x, Place&) { x.max_attempts = 1, x.parallel_tries = true; }},
-           {"cannot be cancelled", [](Set&x, Place&) { x.cancelling = false, x.parallel_tries = true; }},
-           {"probes may not be sent", [](Set&x, Place&) { x.may_probe = false; }},
-           {"none will get a job", [](Set&x, Place&) { x.tip_multiple = 0.5; }},
-           {"count as warm at once", [&](Set&x, Place&) { x.ramp_time = none; }},
-           {"must be asked for", [](Set&x, Place&) { x.must_subscribe = true; }},
+           {"given up after", [](Set&x, Place&) { x.classes[0].latency_objective = scheduling::Duration(9000); }},
+           {"worth more than one in time", [](Set&x, Place&) { x.classes[0].late_weight = 1.5; }},
+           {"worth nothing", [](Set&x, Place&) { x.classes[0].priority_weight = 0; }},
+           {"one attempt is all", [](Set&x, Place&) { x.max_attempts = 1, x.hedging_allowed = true; }},
+           {"cannot be cancelled", [](Set&x, Place&) { x.cancellation_allowed = false, x.hedging_allowed = true; }},
+           {"probes may not be sent", [](Set&x, Place&) { x.health_checks_allowed = false; }},
+           {"none will get a job", [](Set&x, Place&) { x.overload_multiple = 0.5; }},
+           {"count as warm at once", [&](Set&x, Place&) { x.slow_start_duration = none; }},
+           {"must be asked for", [](Set&x, Place&) { x.watch_required = true; }},
            {"no addresses are given", [](Set&, Place&p) { p.peers_allowed = true; }},
            {"but 2 addresses", [](Set&, Place&p) { p.peers_allowed = p.listens = true, p.peers = 2; }},
            {"its own jobs alone",
-            [](Set&x, Place&) { x.balancers = 2, x.reports = scheduling::ReportMode::Off; }},
-           {"none will cross", [](Set&x, Place&) { x.price_cross_zone = 1; }}}) {
+            [](Set&x, Place&) { x.dispatchers = 2, x.reports = scheduling::LoadReportMode::Off; }},
+           {"none will cross", [](Set&x, Place&) { x.cross_zone_price = 1; }}}) {
     Set changed = s;
     Place there = place;
     row.change(changed, there);
@@ -390,10 +392,11 @@
   }
 }
 
-// The testbed's verdicts stand on the clock: only a starved machine may have a broken run played again,
-// and not for ever.
+// The testbed's verdicts stand on the clock: only a starved machine may have a broken run played
+// again, and not for ever.
 TEST_CASE(
-    "testbed: a broken run counts, unless orders were late on a machine that had no time for them") {
+    "testbed: a broken run counts, unless orders were late on a machine that had no time for "
+    "them") {
   using testbed::judge, testbed::Judgement;
   for (double starved : {0.0, testbed::kStarved, 0.9}) {
     CHECK(judge({true, true, starved}, 1) == Judgement::Kept);
--- a/tests/scheduling/cutoff_test.cpp
+++ b/tests/scheduling/cutoff_test.cpp
@@ -8,8 +8,8 @@
 namespace dispatcher::scheduling::testing {
 namespace {
 
-HintHistogram histogram_of(const std::vector<double>& jobs) {
-  HintHistogram h;
+CostHistogram histogram_of(const std::vector<double>& jobs) {
+  CostHistogram h;
   for (double x : jobs)
     h.add(Time(Duration(5)), x);
   return h;
@@ -85,8 +85,8 @@
 }
 
 TEST(Cutoff, EmptyAndOverloadedHaveNone) {
-  EXPECT_FALSE(HintHistogram().fair_cutoff(0.5, 0.5));
-  EXPECT_EQ(HintHistogram().rule_of_thumb_cutoff(0.5), 0);
+  EXPECT_FALSE(CostHistogram().fair_cutoff(0.5, 0.5));
+  EXPECT_EQ(CostHistogram().rule_of_thumb_cutoff(0.5), 0);
   EXPECT_FALSE(histogram_of(bounded_pareto(1000, 1.2, 10, 1000)).fair_cutoff(2.5, 0.5));
 }
 
@@ -103,14 +103,14 @@
 }
 
 TEST(Cutoff, AbsurdHintsAreLeftOut) {
-  HintHistogram h;
+  CostHistogram h;
   for (double x : {0.0, -5.0, std::nan(""), std::numeric_limits<double>::infinity()})
     h.add(Time(Duration(5)), x);
   EXPECT_EQ(h.samples(), 0);
 }
 
 TEST(Cutoff, OldHintsFade) {
-  HintHistogram h;
+  CostHistogram h;
   for (int i = 0; i < 100; ++i)
     h.add(Time(Duration(5)), 10);
   h.add(Time(Duration(5 + 60000)), 10);
@@ -118,14 +118,14 @@
 }
 
 TEST(Cutoff, WorkRateIsTheWorkOfferedPerTime) {
-  HintHistogram h;
+  CostHistogram h;
   for (int i = 0; i < 30000; i += 10)
     h.add(Time(Duration(i)), 5);
   EXPECT_NEAR(h.work_rate(Time(Duration(30000))), 0.5, 0.02);
 }
 
-TEST(HintModel, ExactHintsAreTakenAsTheyAre) {
-  HintModel m;
+TEST(CostHintModel, ExactHintsAreTakenAsTheyAre) {
+  CostHintModel m;
   EXPECT_EQ(m.expected(50), 50);
   for (int i = 0; i < 500; ++i)
     m.learn(1 + i % 90, 1 + i % 90);
@@ -134,9 +134,9 @@
   EXPECT_LT(m.spread(), 1.1);
 }
 
-TEST(HintModel,
+TEST(CostHintModel,
      HintsWithoutMeaningShrinkToTheMean) {  // incident ic372f3: short hints hid long jobs
-  HintModel m;
+  CostHintModel m;
   for (int i = 0; i < 2000; ++i)
     m.learn(i % 2 ? 10 : 1000, (i / 2) % 2 ? 50 : 200);
   EXPECT_GT(m.expected(10), 100);
--- a/tests/scheduling/idempotency_test.cpp
+++ b/tests/scheduling/idempotency_test.cpp
@@ -13,15 +13,15 @@
 constexpr double kLast =
     kSpan - 2 * kConnect - 2;  // a repeat this long after the first send is just too late
 
-const std::vector<Outcome> kProofs{Outcome::Overloaded, Outcome::Unreachable, Outcome::Void};
-const std::vector<Outcome> kDoubts{Outcome::Failure, Outcome::TimedOut, Outcome::Broken,
-                                   Outcome::Withdrawn};
+const std::vector<Outcome> kProofs{Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent};
+const std::vector<Outcome> kDoubts{Outcome::Failure, Outcome::TimedOut, Outcome::ConnectionReset,
+                                   Outcome::Cancelled};
 
-Settings patient(Effect effect, Group group) {
-  Settings set = settings(effect, group);
+Settings patient(Idempotency idempotency, DeduplicationScope deduplication_scope) {
+  Settings set = settings(idempotency, deduplication_scope);
   set.connect_timeout = Duration(kConnect);
-  set.classes[0].aim = set.classes[0].deadline = Duration(30000);
-  set.classes[0].memory_span = Duration(kSpan);
+  set.classes[0].latency_objective = set.classes[0].deadline = Duration(30000);
+  set.classes[0].deduplication_window = Duration(kSpan);
   return set;
 }
 
@@ -39,7 +39,7 @@
   // A copy goes to "b", which comes up `after` the first send.
   void send_copy(double after) {
     until(after);
-    list({worker("b")}, ListKind::Partial);
+    list({worker("b")}, EndpointUpdateKind::Delta);
     for (int i = 0; i < 1500 && copy_to.empty(); ++i) {
       pass(1);
       copy_to = sent_to(1);
@@ -63,15 +63,16 @@
   for (Outcome proof : kProofs) {
     for (Outcome doubt : kDoubts) {
       for (double at : {kLast - 1, kLast, kSpan + 10}) {
-        Story s(patient(Effect::Keyed, Group::Zone));
+        Story s(patient(Idempotency::KeyedIdempotent, DeduplicationScope::Zone));
         s.send_first();
         s.send_copy(1000);
         s.until(2000);
-        s.list({s.worker("a", 0, 0, Readiness::Terminating)}, ListKind::Partial);
+        s.list({s.worker("a", 0, 0, Readiness::Draining)}, EndpointUpdateKind::Delta);
         s.end(1, 0, proof);
         EXPECT_TRUE(s.sent_to(1).empty());
         s.until(at);
-        s.list({s.worker("b", 0, 0, Readiness::Terminating), s.worker("c")}, ListKind::Partial);
+        s.list({s.worker("b", 0, 0, Readiness::Draining), s.worker("c")},
+               EndpointUpdateKind::Delta);
         s.end(1, 1, doubt);
         EXPECT_EQ(s.sent_to(1), at < kLast ? "c" : "") << at;
         EXPECT_TRUE(s.of(ActionKind::Reject).empty()) << "the copy may have run";
@@ -81,37 +82,37 @@
 }
 
 TEST(MemorySpan, SoDoesACopyOfACopy) {
-  Story s(patient(Effect::Keyed, Group::Zone));
+  Story s(patient(Idempotency::KeyedIdempotent, DeduplicationScope::Zone));
   s.send_first();
   s.send_copy(1000);
-  s.list({s.worker("a", 0, 0, Readiness::Terminating)}, ListKind::Partial);
-  s.end(1, 0, Outcome::Overloaded);
+  s.list({s.worker("a", 0, 0, Readiness::Draining)}, EndpointUpdateKind::Delta);
+  s.end(1, 0, Outcome::Rejected);
   s.until(3000);
-  s.list({s.worker("c")}, ListKind::Partial);
+  s.list({s.worker("c")}, EndpointUpdateKind::Delta);
   for (int i = 0; i < 1500 && s.attempts[1] < 3; ++i) {
     s.pass(1);
     s.sent_to(1);
   }
   ASSERT_EQ(s.attempts[1], 3);
-  s.list({s.worker("b", 0, 0, Readiness::Terminating)}, ListKind::Partial);
-  s.end(1, 1, Outcome::Unreachable);
+  s.list({s.worker("b", 0, 0, Readiness::Draining)}, EndpointUpdateKind::Delta);
+  s.end(1, 1, Outcome::ConnectFailed);
   s.until(kLast);
-  s.list({s.worker("d")}, ListKind::Partial);
-  s.end(1, 2, Outcome::Broken);
+  s.list({s.worker("d")}, EndpointUpdateKind::Delta);
+  s.end(1, 2, Outcome::ConnectionReset);
   EXPECT_TRUE(s.silent());
 }
 
 TEST(MemorySpan, BeginsAnewOnceNothingMayHaveRun) {
   for (Outcome proof : kProofs) {
-    Story s(patient(Effect::Keyed, Group::Zone));
+    Story s(patient(Idempotency::KeyedIdempotent, DeduplicationScope::Zone));
     s.send_first();
     s.until(3000);
-    s.list({s.worker("a", 0, 0, Readiness::Terminating), s.worker("b", 1)});
+    s.list({s.worker("a", 0, 0, Readiness::Draining), s.worker("b", 1)});
     s.end(1, 0, proof);
     ASSERT_EQ(s.sent_to(1), "b") << "in another zone, since nothing ran";
     s.until(kSpan + 2000);
-    s.list({s.worker("b", 1, 0, Readiness::Terminating), s.worker("c", 1)});
-    s.end(1, 1, Outcome::Broken);
+    s.list({s.worker("b", 1, 0, Readiness::Draining), s.worker("c", 1)});
+    s.end(1, 1, Outcome::ConnectionReset);
     EXPECT_EQ(s.sent_to(1), "c");
   }
 }
@@ -119,11 +120,11 @@
 TEST(MemorySpan, ARepeatMustArriveWithinItAfterEveryOutcomeThatLeavesDoubt) {
   for (Outcome doubt : kDoubts) {
     for (double at : {kLast - 1, kLast}) {
-      Story s(patient(Effect::Keyed, Group::All));
+      Story s(patient(Idempotency::KeyedIdempotent, DeduplicationScope::All));
       s.send_first();
       s.started(1);
       s.until(at);
-      s.list({s.worker("a", 0, 0, Readiness::Terminating), s.worker("b")});
+      s.list({s.worker("a", 0, 0, Readiness::Draining), s.worker("b")});
       s.end(1, 0, doubt);
       EXPECT_EQ(s.sent_to(1), at < kLast ? "b" : "") << at;
     }
@@ -132,10 +133,10 @@
 
 TEST(MemorySpan, ACopyOfAnAttemptStillOutMustArriveWithinItToo) {
   for (double at : {kLast - 400, kLast}) {  // waiting jobs are looked at a few times a second
-    Story s(patient(Effect::Keyed, Group::Zone));
+    Story s(patient(Idempotency::KeyedIdempotent, DeduplicationScope::Zone));
     s.send_first();
     s.until(at);
-    s.list({s.worker("b")}, ListKind::Partial);
+    s.list({s.worker("b")}, EndpointUpdateKind::Delta);
     s.pass(1500);
     std::string copy = s.sent_to(1);
     EXPECT_EQ(copy, at < kLast ? "b" : "") << at;
@@ -147,15 +148,16 @@
   std::vector<std::optional<Duration>> timeouts{std::nullopt, Duration(-1), Duration(std::nan("")),
                                                 Duration(inf), Duration(kSpan / 2)};
   for (auto timeout : timeouts) {
-    for (Effect effect : {Effect::Keyed, Effect::Safe}) {
-      for (Outcome outcome : {Outcome::Broken, Outcome::Overloaded}) {
-        Settings set = patient(effect, Group::All);
+    for (Idempotency idempotency : {Idempotency::KeyedIdempotent, Idempotency::Idempotent}) {
+      for (Outcome outcome : {Outcome::ConnectionReset, Outcome::Rejected}) {
+        Settings set = patient(idempotency, DeduplicationScope::All);
         set.connect_timeout = timeout;
         Story s(set);
         s.send_first();
-        s.list({s.worker("a", 0, 0, Readiness::Terminating), s.worker("b")});
+        s.list({s.worker("a", 0, 0, Readiness::Draining), s.worker("b")});
         s.end(1, 0, outcome);
-        bool relies = effect == Effect::Keyed && outcome == Outcome::Broken;
+        bool relies =
+            idempotency == Idempotency::KeyedIdempotent && outcome == Outcome::ConnectionReset;
         EXPECT_EQ(s.sent_to(1), relies ? "" : "b");
       }
     }
@@ -164,12 +166,12 @@
 
 TEST(MemorySpan, AnAbsurdSpanIsNoneAtAll) {
   for (double span : {0.0, std::numeric_limits<double>::infinity()}) {
-    Settings set = patient(Effect::Keyed, Group::All);
-    set.classes[0].memory_span = Duration(span);
+    Settings set = patient(Idempotency::KeyedIdempotent, DeduplicationScope::All);
+    set.classes[0].deduplication_window = Duration(span);
     Story s(set);
     s.send_first();
-    s.list({s.worker("a", 0, 0, Readiness::Terminating), s.worker("b")});
-    s.end(1, 0, Outcome::Broken);
+    s.list({s.worker("a", 0, 0, Readiness::Draining), s.worker("b")});
+    s.end(1, 0, Outcome::ConnectionReset);
     EXPECT_TRUE(s.silent());
   }
 }
@@ -177,31 +179,32 @@
 // After a stall of our own the timers come due first and the old ends behind them, all at the
 // present time.
 TEST(MemorySpan, OldTimersAndEndsAfterAStallOfOurOwn) {
-  Story s(patient(Effect::Keyed, Group::Zone));
+  Story s(patient(Idempotency::KeyedIdempotent, DeduplicationScope::Zone));
   s.send_first();
   s.list({s.worker("a"), s.worker("b")});
   s.now += Duration(1500);
   s.actions.clear();
   s.dispatcher_.on_timer(s.now, s.actions);
   ASSERT_EQ(s.sent_to(1), "b");
-  s.list({s.worker("a", 0, 0, Readiness::Terminating)}, ListKind::Partial);
-  s.end(1, 0, Outcome::Overloaded);
+  s.list({s.worker("a", 0, 0, Readiness::Draining)}, EndpointUpdateKind::Delta);
+  s.end(1, 0, Outcome::Rejected);
   s.now = s.first + Duration(kLast);
-  s.list({s.worker("b", 0, 0, Readiness::Terminating), s.worker("c")}, ListKind::Partial);
+  s.list({s.worker("b", 0, 0, Readiness::Draining), s.worker("c")}, EndpointUpdateKind::Delta);
   s.actions.clear();
   s.dispatcher_.on_timer(s.now, s.actions);
   EXPECT_TRUE(s.silent());
-  s.end(1, 1, Outcome::Broken);
+  s.end(1, 1, Outcome::ConnectionReset);
   EXPECT_TRUE(s.silent());
 }
 
 TEST(EffectGroup, IsThatOfTheSendThoughTheListMovesTheWorkerLater) {
-  for (Group group : {Group::Zone, Group::Cell}) {
+  for (DeduplicationScope deduplication_scope :
+       {DeduplicationScope::Zone, DeduplicationScope::Cell}) {
     for (int place : {0, 1}) {
-      Story s(patient(Effect::Keyed, group));
+      Story s(patient(Idempotency::KeyedIdempotent, deduplication_scope));
       s.send_first();
-      s.list({s.worker("a", 1, 1, Readiness::Terminating), s.worker("b", place, place)});
-      s.end(1, 0, Outcome::Broken);
+      s.list({s.worker("a", 1, 1, Readiness::Draining), s.worker("b", place, place)});
+      s.end(1, 0, Outcome::ConnectionReset);
       EXPECT_EQ(s.sent_to(1), place == 0 ? "b" : "");
     }
   }
@@ -209,11 +212,11 @@
 
 TEST(Proof, IsNoneAfterANoteOfAStartOrProgress) {
   for (Outcome proof : kProofs) {
-    for (NoteKind kind : {NoteKind::Started, NoteKind::Progress}) {
-      Story s(patient(Effect::Unsafe, Group::All));
+    for (JobEventKind kind : {JobEventKind::Started, JobEventKind::Progress}) {
+      Story s(patient(Idempotency::NonIdempotent, DeduplicationScope::All));
       s.send_first();
-      s.dispatcher_.on_note(s.now, 1, 0, "a", kind, s.actions);
-      s.list({s.worker("b")}, ListKind::Partial);
+      s.dispatcher_.on_job_event(s.now, 1, 0, "a", kind, s.actions);
+      s.list({s.worker("b")}, EndpointUpdateKind::Delta);
       s.end(1, 0, proof);
       EXPECT_TRUE(s.silent());
       EXPECT_TRUE(s.answered(1, ActionKind::Fail));
@@ -223,18 +226,18 @@
 
 TEST(Proof, OfAnotherWorkersNameIsNone) {
   for (Outcome proof : kProofs) {
-    Settings set = patient(Effect::Unsafe, Group::All);
-    set.cancelling = false;
+    Settings set = patient(Idempotency::NonIdempotent, DeduplicationScope::All);
+    set.cancellation_allowed = false;
     Story s(set);
     s.send_first();
-    s.list({s.worker("b")}, ListKind::Partial);
+    s.list({s.worker("b")}, EndpointUpdateKind::Delta);
     for (std::string_view name : {"b", "nobody"}) {
       s.end_as(0, name, proof);
       EXPECT_TRUE(s.silent());
     }
     s.end_as(7, "a", proof);
     EXPECT_TRUE(s.silent());
-    s.end(1, 0, Outcome::Broken);
+    s.end(1, 0, Outcome::ConnectionReset);
     EXPECT_TRUE(s.silent());
     EXPECT_TRUE(s.answered(1, ActionKind::Fail));
   }
@@ -245,15 +248,15 @@
 TEST(Proof, ComingAfterAnotherEndIsNone) {
   for (Outcome proof : kProofs) {
     for (Outcome doubt : kDoubts) {
-      Story s(patient(Effect::Keyed, Group::Cell));
+      Story s(patient(Idempotency::KeyedIdempotent, DeduplicationScope::Cell));
       s.send_first();
       s.send_copy(100);
       s.end(1, 0, doubt);
       s.end(1, 0, proof);
       s.end_as(0, "b", proof);
-      s.list({s.worker("a", 0, 0, Readiness::Gone), s.worker("b", 0, 0, Readiness::Gone),
+      s.list({s.worker("a", 0, 0, Readiness::Removed), s.worker("b", 0, 0, Readiness::Removed),
               s.worker("c", 0, 1)},
-             ListKind::Partial);
+             EndpointUpdateKind::Delta);
       s.end(1, 1, proof);
       EXPECT_TRUE(s.silent());
       EXPECT_TRUE(s.answered(1, ActionKind::Fail));
@@ -264,18 +267,18 @@
 // Held after the proof, since its only worker is full or down, the job is neither sent again nor
 // refused.
 TEST(Proof, IsTakenBackByALaterSignThatItRan) {
-  for (Outcome proof : {Outcome::Overloaded, Outcome::Unreachable}) {
+  for (Outcome proof : {Outcome::Rejected, Outcome::ConnectFailed}) {
     for (int sign : {0, 1, 2}) {
-      Story s(patient(Effect::Unsafe, Group::All));
+      Story s(patient(Idempotency::NonIdempotent, DeduplicationScope::All));
       s.send_first();
       s.end(1, 0, proof);
       ASSERT_TRUE(s.silent());
       if (sign == 0)
-        s.end(1, 0, Outcome::Broken);
+        s.end(1, 0, Outcome::ConnectionReset);
       if (sign == 1)
         s.started(1);
       if (sign == 2)
-        s.dispatcher_.on_note(s.now, 1, 0, "nobody", NoteKind::Progress, s.actions);
+        s.dispatcher_.on_job_event(s.now, 1, 0, "nobody", JobEventKind::Progress, s.actions);
       std::vector<Action> seen = s.actions;
       s.pass(30000);
       seen.insert(seen.end(), s.actions.begin(), s.actions.end());
--- a/tests/scheduling/large_fleet_test.cpp
+++ b/tests/scheduling/large_fleet_test.cpp
@@ -8,12 +8,12 @@
 namespace dispatcher::scheduling::testing {
 namespace {
 
-Settings one_of(int balancers, int index) {
-  Settings s = settings(Effect::Unsafe);
-  s.balancers = balancers;
+Settings one_of(int dispatchers, int index) {
+  Settings s = settings(Idempotency::NonIdempotent);
+  s.dispatchers = dispatchers;
   s.index = index;
   s.seed = 1000 + index;
-  s.classes[0].stretch = 10;
+  s.classes[0].objective_work_factor = 10;
   return s;
 }
 
@@ -72,8 +72,8 @@
 struct Asking : ::testing::Test {
   Asking() {
     Settings set = one_of(500, 3);
-    set.may_probe = true;
-    set.reports = ReportMode::OnProbe;
+    set.health_checks_allowed = true;
+    set.reports = LoadReportMode::OnProbe;
     scene = std::make_unique<Scene>(set);
     for (int i = 0; i < 40; ++i)
       names.push_back(name(i));
@@ -81,7 +81,7 @@
   }
   std::vector<std::string> asked() {
     std::vector<std::string> found;
-    for (const Action& a : scene->of(ActionKind::Probe))
+    for (const Action& a : scene->of(ActionKind::HealthCheck))
       found.emplace_back(a.worker);
     return found;
   }
@@ -90,7 +90,8 @@
     r.free_slots = free_slots;
     r.busy = busy;
     scene->actions.clear();
-    scene->dispatcher_.on_probe_result(scene->now, worker, Outcome::Success, r, scene->actions);
+    scene->dispatcher_.on_health_check_result(scene->now, worker, Outcome::Success, r,
+                                              scene->actions);
   }
   std::unique_ptr<Scene> scene;
   std::vector<std::string> names;
@@ -127,28 +128,28 @@
 
 TEST_F(Asking, NoJobGoesToAWorkerWhoseProbeHasJustFailed) {  // incident ifddfb2
   Settings set = one_of(500, 3);
-  set.may_probe = true;
-  set.reports = ReportMode::OnProbe;
-  set.classes[0].effect = Effect::Safe;
-  for (Outcome outcome : {Outcome::Unreachable, Outcome::TimedOut, Outcome::Overloaded}) {
+  set.health_checks_allowed = true;
+  set.reports = LoadReportMode::OnProbe;
+  set.classes[0].idempotency = Idempotency::Idempotent;
+  for (Outcome outcome : {Outcome::ConnectFailed, Outcome::TimedOut, Outcome::Rejected}) {
     scene = std::make_unique<Scene>(set);
     scene->list(fleet(*scene, names, 0));
     scene->pass(2000);  // nothing heard of any worker lately
     scene->request(1, 100);
     std::string first = asked().at(0);
     scene->actions.clear();
-    scene->dispatcher_.on_probe_result(scene->now, first, outcome, {}, scene->actions);
-    bool lives = outcome == Outcome::Overloaded;  // only too many probes at once
+    scene->dispatcher_.on_health_check_result(scene->now, first, outcome, {}, scene->actions);
+    bool lives = outcome == Outcome::Rejected;  // only too many probes at once
     EXPECT_EQ(scene->sent_to(1), lives ? first : "");
   }
 }
 
 TEST_F(Asking, AWaitingJobIsCopiedOnceThoughBothAreTurnedIntoQueues) {
   Settings set = one_of(500, 3);
-  set.classes[0].effect = Effect::Safe;
-  set.classes[0].aim = Duration(5000);
+  set.classes[0].idempotency = Idempotency::Idempotent;
+  set.classes[0].latency_objective = Duration(5000);
   for (bool drawn : {true, false}) {
-    set.balancers = drawn ? 500 : 1;
+    set.dispatchers = drawn ? 500 : 1;
     set.index = 0;
     Scene s(set);
     s.list(fleet(s, names, 0));
@@ -161,7 +162,7 @@
         continue;
       ++sends;
       if (sends == 2)
-        s.end(1, 0, Outcome::Withdrawn);  // what it waits for does not come
+        s.end(1, 0, Outcome::Cancelled);  // what it waits for does not come
     }
     EXPECT_EQ(sends > 2, !drawn);
   }
@@ -178,11 +179,11 @@
 }
 
 TEST(Fleet, ColdBudgetIsUsedByAFewAndNeverPassed) {  // incidents ief4a90, i16956d
-  const int balancers = 300;
+  const int dispatchers = 300;
   std::map<int, double> in_span;  // of a cold worker's span, all dispatchers together
   int users = 0;
-  for (int index = 0; index < balancers; ++index) {
-    Scene s(one_of(balancers, index));
+  for (int index = 0; index < dispatchers; ++index) {
+    Scene s(one_of(dispatchers, index));
     WorkerEntry cold = s.worker("a");
     cold.online_since = s.now;
     s.list({cold});
@@ -197,13 +198,13 @@
       if (sent)
         s.end(id, 0, Outcome::Success, true);
       s.actions.clear();
-      s.dispatcher_.on_client_gone(s.now, id, s.actions);
+      s.dispatcher_.on_client_disconnected(s.now, id, s.actions);
       s.now += Duration(100);
     }
     users += used;
   }
   EXPECT_GT(users, 0);
-  EXPECT_LT(users, balancers / 2);
+  EXPECT_LT(users, dispatchers / 2);
   double all = 0;
   for (auto [span, work] : in_span) {
     double warm = 0.25 + 0.75 * span / 10;
@@ -220,9 +221,9 @@
   double sent = 0;
   for (int index = 0; index < 100; ++index) {
     Settings set = one_of(100, index);
-    set.may_probe = true;
-    set.reports = ReportMode::Inline;
-    set.fall_span = Duration(2000);
+    set.health_checks_allowed = true;
+    set.reports = LoadReportMode::Inline;
+    set.overload_window = Duration(2000);
     Scene s(set);
     std::vector<std::string> names;
     for (int i = 0; i < 60; ++i)
@@ -236,14 +237,15 @@
       std::string to = s.sent_to(id);
       std::deque<std::string> asked;
       auto note_asked = [&] {
-        for (const Action& a : s.of(ActionKind::Probe))
+        for (const Action& a : s.of(ActionKind::HealthCheck))
           asked.emplace_back(a.worker);
       };
       for (note_asked(); !asked.empty(); asked.pop_front(), note_asked()) {
         LoadReport free;
         free.free_slots = 2;
         s.actions.clear();
-        s.dispatcher_.on_probe_result(s.now, asked.front(), Outcome::Success, free, s.actions);
+        s.dispatcher_.on_health_check_result(s.now, asked.front(), Outcome::Success, free,
+                                             s.actions);
         if (to.empty())
           to = s.sent_to(id);
       }
@@ -273,19 +275,19 @@
   }
   static Settings near_settings(int index) {
     Settings set = one_of(100, index);
-    set.may_probe = true;
-    set.reports = ReportMode::Inline;
+    set.health_checks_allowed = true;
+    set.reports = LoadReportMode::Inline;
     return set;
   }
   void say(int worker, double jobs) {
     actions.clear();
-    dispatcher_.on_peers(now, name(worker), jobs, actions);
+    dispatcher_.on_load_gossip(now, name(worker), jobs, actions);
   }
   // The one that a new job asks first, or goes to at once.
   std::string first(RequestId id) {
     request(id, 100);
     for (const Action& a : actions) {
-      if (a.kind == ActionKind::Probe || a.kind == ActionKind::Send)
+      if (a.kind == ActionKind::HealthCheck || a.kind == ActionKind::Send)
         return std::string(a.worker);
     }
     return {};
@@ -300,7 +302,7 @@
   LoadReport full;  // it is old by a second: what the others tell goes before it
   full.free_slots = 0;
   s.actions.clear();
-  s.dispatcher_.on_probe_result(s.now, "w2", Outcome::Success, full, s.actions);
+  s.dispatcher_.on_health_check_result(s.now, "w2", Outcome::Success, full, s.actions);
   EXPECT_EQ(s.sent_to(1), "w2");
 }
 
@@ -324,16 +326,16 @@
 TEST(Near, HearsayNamesNoWorkerAndBringsNoneBack) {
   NearScene s;
   s.actions.clear();
-  s.dispatcher_.on_peers(s.now, "stranger", 0, s.actions);
+  s.dispatcher_.on_load_gossip(s.now, "stranger", 0, s.actions);
   EXPECT_TRUE(s.actions.empty());
-  s.list({s.worker("w2", 0, 0, Readiness::Terminating)}, ListKind::Partial);
+  s.list({s.worker("w2", 0, 0, Readiness::Draining)}, EndpointUpdateKind::Delta);
   s.say(2, 0);
   for (RequestId id = 1; id <= 40; ++id)
     EXPECT_NE(s.first(id), "w2");
 }
 
 TEST(Patience, AClientInAHurryIsServedWhereNobodyWaits) {
-  Scene s(settings(Effect::Unsafe));
+  Scene s(settings(Idempotency::NonIdempotent));
   s.list({s.worker("a")});
   s.request(1, 100, 10000);
   ASSERT_EQ(s.sent_to(1), "a");
@@ -343,7 +345,7 @@
 }
 
 TEST(Patience, ButNotWhereAJobWouldHaveToWait) {
-  Scene s(settings(Effect::Unsafe));
+  Scene s(settings(Idempotency::NonIdempotent));
   s.list({s.worker("a")});
   s.fill("a", 400);
   s.request(3, 100, 300);
--- a/tests/scheduling/retry_budget_test.cpp
+++ b/tests/scheduling/retry_budget_test.cpp
@@ -8,9 +8,9 @@
 
 Settings budget(double free, double share, double window) {
   Settings s = settings();
-  s.budget_free = free;
-  s.extra_per_request = share;
-  s.extra_window = Duration(window);
+  s.retry_budget_free = free;
+  s.retry_budget_ratio = share;
+  s.retry_budget_window = Duration(window);
   s.max_attempts = 20;
   return s;
 }
@@ -35,7 +35,7 @@
                                       "i", "j", "k", "l", "m", "n", "o", "p"};
 
 TEST(Budget, AFreshStartHasTheFreeAttemptsAndItsShareAlone) {
-  for (Outcome outcome : {Outcome::Overloaded, Outcome::Unreachable}) {
+  for (Outcome outcome : {Outcome::Rejected, Outcome::ConnectFailed}) {
     Scene scene(budget(2, 0.5, 1000));
     scene.list(many(scene, kNames));
     EXPECT_EQ(resends(scene, 1, outcome), 2);  // 2 + 0.5 x 1, rounded down
@@ -46,13 +46,13 @@
 TEST(Budget, NothingIsRationedWithoutTheSetting) {
   Scene scene(settings());
   scene.list(many(scene, kNames));
-  EXPECT_EQ(resends(scene, 1, Outcome::Overloaded), 3);  // max_attempts alone
+  EXPECT_EQ(resends(scene, 1, Outcome::Rejected), 3);  // max_attempts alone
 }
 
 TEST(Budget, AttemptsThatWereNeverSentDoNotCount) {
   Scene scene(budget(1, 0, 1000));
   scene.list(many(scene, kNames));
-  EXPECT_GT(resends(scene, 1, Outcome::Void), 1);
+  EXPECT_GT(resends(scene, 1, Outcome::NotSent), 1);
 }
 
 TEST(Budget, RefusedRequestsCountAsTaken) {
@@ -62,7 +62,7 @@
     scene.request(id, 10, 0);  // no time left: answered at once
     EXPECT_TRUE(scene.answered(id, ActionKind::Reject));
   }
-  EXPECT_EQ(resends(scene, 1, Outcome::Overloaded), 2);  // 0.25 x 8
+  EXPECT_EQ(resends(scene, 1, Outcome::Rejected), 2);  // 0.25 x 8
 }
 
 TEST(Budget, RequestsThatLeaveTheWindowTakeTheirShareAlong) {
@@ -71,30 +71,30 @@
   for (RequestId id = 10; id < 20; ++id)
     scene.request(id, 10, 0);
   scene.pass(1001);
-  EXPECT_EQ(resends(scene, 1, Outcome::Overloaded), 0);
+  EXPECT_EQ(resends(scene, 1, Outcome::Rejected), 0);
 }
 
 TEST(Budget, AttemptsStayCountedUntilTheWindowHasPassedThem) {
   Scene scene(budget(1, 0, 1000));
   scene.list(many(scene, kNames));
-  EXPECT_EQ(resends(scene, 1, Outcome::Overloaded), 1);
+  EXPECT_EQ(resends(scene, 1, Outcome::Rejected), 1);
   scene.pass(999);
-  EXPECT_EQ(resends(scene, 2, Outcome::Overloaded), 0);
+  EXPECT_EQ(resends(scene, 2, Outcome::Rejected), 0);
   scene.pass(10);
-  EXPECT_EQ(resends(scene, 3, Outcome::Overloaded), 1);
+  EXPECT_EQ(resends(scene, 3, Outcome::Rejected), 1);
 }
 
 TEST(Budget, FiguresThatMakeNoSenseAreTurnedAway) {
   std::vector<Action> out;
-  for (auto spoil :
-       {+[](Settings& s) { s.extra_window.reset(); }, +[](Settings& s) { s.budget_free = -1; },
-        +[](Settings& s) { s.extra_per_request = NAN; },
-        +[](Settings& s) {
-          s.extra_window = Duration(INFINITY);
-        }}) {
+  for (auto spoil : {+[](Settings& s) { s.retry_budget_window.reset(); },
+                     +[](Settings& s) { s.retry_budget_free = -1; },
+                     +[](Settings& s) { s.retry_budget_ratio = NAN; },
+                     +[](Settings& s) {
+                       s.retry_budget_window = Duration(INFINITY);
+                     }}) {
     Settings s = budget(1, 0.1, 1000);
     spoil(s);
-    EXPECT_THROW(Dispatcher(s, Time{}, out), std::invalid_argument);
+    EXPECT_THROW(Scheduler(s, Time{}, out), std::invalid_argument);
   }
 }
 
--- a/tests/scheduling/scheduler_test.cpp
+++ b/tests/scheduling/scheduler_test.cpp
@@ -27,14 +27,14 @@
   auto rejects = [&](auto change) {
     Settings s = settings();
     change(s);
-    EXPECT_THROW(Dispatcher(s, Time{}, out), std::invalid_argument);
+    EXPECT_THROW(Scheduler(s, Time{}, out), std::invalid_argument);
   };
   rejects([](Settings& s) { s.classes.clear(); });
-  rejects([](Settings& s) { s.balancers = 0; });
+  rejects([](Settings& s) { s.dispatchers = 0; });
   rejects([](Settings& s) { s.index = 1; });
   rejects([](Settings& s) { s.tick = Duration(-1); });
   rejects([](Settings& s) { s.classes[0].deadline = Duration(-1); });
-  rejects([](Settings& s) { s.cold_from = 0; });
+  rejects([](Settings& s) { s.slow_start_initial_fraction = 0; });
 }
 
 TEST(Pools, HalfTheCapacityOfEachZoneIsShort) {
@@ -56,8 +56,8 @@
     std::vector<bool> before;
     for (auto& id : ids)
       before.push_back(s.dispatcher_.in_short_pool(id));
-    s.list({s.worker(ids[gone], 0, 0, Readiness::Gone), s.worker("10.9.9.9:7000")},
-           ListKind::Partial);
+    s.list({s.worker(ids[gone], 0, 0, Readiness::Removed), s.worker("10.9.9.9:7000")},
+           EndpointUpdateKind::Delta);
     int moved = 0;
     for (int i = 0; i < 12; ++i)
       moved += i != gone && s.dispatcher_.in_short_pool(ids[i]) != before[i];
@@ -103,7 +103,7 @@
 TEST(Choice, KindTiedJobsAndLargeJobsKeepToWorkersThatCanRunThem) {
   Settings set = settings();
   set.classes[0].kind = 1;
-  set.reports = ReportMode::Inline;
+  set.reports = LoadReportMode::Inline;
   Scene s(set);
   WorkerEntry other = s.worker("a");
   WorkerEntry tied = s.worker("b");
@@ -132,7 +132,7 @@
 }
 
 TEST(Hold, WhatCanNoLongerBeInTimeIsRefusedEarly) {
-  Scene s(settings(Effect::Unsafe));
+  Scene s(settings(Idempotency::NonIdempotent));
   s.list({s.worker("a")});
   ASSERT_NO_FATAL_FAILURE(s.fill("a", 5000));
   s.request(3, 100);  // wanted within 500 ms
@@ -141,8 +141,8 @@
 }
 
 TEST(Hold, LateJobsStayWhereLateAnswersHaveWorth) {
-  Settings set = settings(Effect::Unsafe);
-  set.classes[0].late_worth = 0.5;
+  Settings set = settings(Idempotency::NonIdempotent);
+  set.classes[0].late_weight = 0.5;
   Scene s(set);
   s.list({s.worker("a")});
   ASSERT_NO_FATAL_FAILURE(s.fill("a", 5000));
@@ -156,18 +156,19 @@
 // Guards the worth of a day: booked jobs worth ten of the others were held behind them until nobody
 // waited.
 TEST(Hold, WhoIsWorthMostForItsWorkGoesFirstAndWhoIsLateByWhatIsLeft) {
-  Settings set = settings(Effect::Unsafe);
+  Settings set = settings(Idempotency::NonIdempotent);
   set.classes.push_back(set.classes[0]);
-  set.classes[0].late_worth = 0.2;
-  set.classes[1].late_worth = 0.3;
-  set.classes[1].worth = 10;
-  set.classes[1].aim = Duration(800);
+  set.classes[0].late_weight = 0.2;
+  set.classes[1].late_weight = 0.3;
+  set.classes[1].priority_weight = 10;
+  set.classes[1].latency_objective = Duration(800);
   Scene s(set);
   s.list({s.worker("a")});
   ASSERT_NO_FATAL_FAILURE(s.fill("a", 5000));
   auto hold = [&](RequestId id, std::size_t job_class) {
     s.actions.clear();
-    Request r{.id = id, .job_class = job_class, .patience = Duration(10000), .hint = Duration(100)};
+    Request r{
+        .id = id, .job_class = job_class, .timeout = Duration(10000), .cost_hint = Duration(100)};
     s.dispatcher_.on_request(s.now, r, s.actions);
     ASSERT_TRUE(s.sent_to(id).empty());
   };
@@ -198,7 +199,7 @@
 TEST(Choice, AQueueIsJoinedOnlyWhereASecondCopyMayHelp) {
   for (bool copies : {true, false}) {
     Settings set = settings();
-    set.parallel_tries = copies;
+    set.hedging_allowed = copies;
     Scene s(set);
     s.list({s.worker("a")});
     ASSERT_NO_FATAL_FAILURE(s.fill("a", 100));
@@ -213,7 +214,7 @@
 }
 
 TEST(Hold, QueuedJobsThatCanOnlyBeLateAreGivenUpAndCancelled) {  // incident ic10efd
-  Scene s(settings(Effect::Unsafe));
+  Scene s(settings(Idempotency::NonIdempotent));
   s.list({s.worker("a")});
   s.request(1, 100);
   ASSERT_EQ(s.sent_to(1), "a");  // and no start note comes: others' jobs stand before it
@@ -223,7 +224,7 @@
 }
 
 TEST(Hold, RunningJobsAreLeftToEnd) {
-  Scene s(settings(Effect::Unsafe));
+  Scene s(settings(Idempotency::NonIdempotent));
   s.list({s.worker("a")});
   s.request(1, 100);
   ASSERT_EQ(s.sent_to(1), "a");
@@ -237,7 +238,7 @@
   s.list({s.worker("a")});
   s.request(1, 100);
   ASSERT_EQ(s.sent_to(1), "a");
-  s.end(1, 0, Outcome::Overloaded);
+  s.end(1, 0, Outcome::Rejected);
   EXPECT_TRUE(s.sent_to(1).empty());
   s.pass(20);
   EXPECT_TRUE(s.sent_to(1).empty());
@@ -247,7 +248,7 @@
 
 TEST(OthersWork, ReportsMoveJobsAway) {
   Settings set = settings();
-  set.reports = ReportMode::Inline;
+  set.reports = LoadReportMode::Inline;
   Scene s(set);
   s.list({s.worker("a"), s.worker("b")});
   LoadReport busy;
@@ -268,7 +269,7 @@
 
 TEST(OthersWork, AReportThatComesWithAnEndDoesNotCountOurOwnEndedJobs) {  // incident ie12df0
   Settings set = settings();
-  set.reports = ReportMode::Inline;
+  set.reports = LoadReportMode::Inline;
   Scene s(set);
   s.list({s.worker("a")});
   ASSERT_NO_FATAL_FAILURE(s.fill("a", 50));
@@ -281,25 +282,26 @@
 }
 
 TEST(Health, UnreachableWorkerGetsNoJobsUntilATrialSucceeds) {
-  Settings set = settings(Effect::Unsafe);
-  set.may_probe = true;
+  Settings set = settings(Idempotency::NonIdempotent);
+  set.health_checks_allowed = true;
   Scene s(set);
   s.list({s.worker("a"), s.worker("b")});
   s.request(1, 10);
   std::string first = s.sent_to(1);
-  s.end(1, 0, Outcome::Unreachable);
+  s.end(1, 0, Outcome::ConnectFailed);
   EXPECT_NE(s.sent_to(1), first);
-  ASSERT_EQ(s.of(ActionKind::Probe).size(), 1U);  // at once: it may have been the connection alone
+  ASSERT_EQ(s.of(ActionKind::HealthCheck).size(),
+            1U);  // at once: it may have been the connection alone
   s.actions.clear();
-  s.dispatcher_.on_probe_result(s.now, first, Outcome::Unreachable, {}, s.actions);
+  s.dispatcher_.on_health_check_result(s.now, first, Outcome::ConnectFailed, {}, s.actions);
   for (RequestId id = 2; id < 6; ++id) {
     s.request(id, 10);
     EXPECT_NE(s.sent_to(id), first);
     s.end(id, 0, Outcome::Success, true);
   }
   s.pass(1100);
-  ASSERT_EQ(s.of(ActionKind::Probe).size(), 1U);
-  EXPECT_EQ(s.of(ActionKind::Probe)[0].worker, first);
+  ASSERT_EQ(s.of(ActionKind::HealthCheck).size(), 1U);
+  EXPECT_EQ(s.of(ActionKind::HealthCheck)[0].worker, first);
 }
 
 // Guards the other tenants from a burst of one: what is beyond its share takes only what nobody
@@ -307,7 +309,7 @@
 TEST(Shares, AJobBeyondItsTenantsShareLeavesASlotFree) {
   Settings set = settings();
   set.tenant_quotas = {2, 2};
-  set.over_share_worth = 0.05;
+  set.over_quota_weight = 0.05;
   Scene s(set);
   s.list({s.worker("a")});
   for (RequestId id = 1; id <= 4; ++id) {  // its share of two seconds at once
@@ -337,8 +339,8 @@
       [](bool all_tenants) {  // jobs that had to wait when traffic became three times as much
         Settings set = settings();
         set.tenant_quotas = {2, 2, 2};
-        set.over_share_worth = 0.05;
-        set.balancers = 2;
+        set.over_quota_weight = 0.05;
+        set.dispatchers = 2;
         Scene s(set);
         s.list({s.worker("a")});
         s.request(1, 100000, 200000);  // keeps one of the two slots
@@ -359,7 +361,7 @@
             if (sent) {
               s.end(id, 0, Outcome::Success, true);
             } else {
-              s.dispatcher_.on_client_gone(s.now, id, s.actions);
+              s.dispatcher_.on_client_disconnected(s.now, id, s.actions);
             }
           }
         }
@@ -374,7 +376,7 @@
 TEST(Shares, AHeavyJobMayBorrowFromItsTenants) {
   Settings set = settings();
   set.tenant_quotas = {2, 2};
-  set.over_share_worth = 0.05;
+  set.over_quota_weight = 0.05;
   Scene s(set);
   s.list({s.worker("a")});
   for (RequestId id = 1; id <= 4; ++id) {  // its share of two seconds at once
@@ -392,7 +394,7 @@
 TEST(Shares, WithoutAQuotaThereIsNone) {
   Settings set = settings();
   set.tenant_quotas = {2, 2, 2, 0};
-  set.over_share_worth = 0.05;
+  set.over_quota_weight = 0.05;
   Scene s(set);
   s.list({s.worker("a")});
   for (RequestId id = 1; id <= 20; ++id) {
@@ -406,29 +408,29 @@
 // Guards healthy workers where connections are reset: they must not stand idle for a second each
 // time, nor count as cold; but one that breaks off job after job is not believed each time.
 TEST(Health, OneLostConnectionIsNotALostWorker) {
-  Settings set = settings(Effect::Unsafe);
-  set.may_probe = true;
+  Settings set = settings(Idempotency::NonIdempotent);
+  set.health_checks_allowed = true;
   Scene s(set);
   s.list({s.worker("a")});
   auto lose = [&](RequestId id) {
     s.request(id, 900);
     ASSERT_EQ(s.sent_to(id), "a");
     s.actions.clear();
-    s.end(id, 0, Outcome::Broken, true);
+    s.end(id, 0, Outcome::ConnectionReset, true);
   };
   lose(1);
-  ASSERT_EQ(s.of(ActionKind::Probe).size(), 1U);
-  s.dispatcher_.on_probe_result(s.now, "a", Outcome::Success, {}, s.actions);
+  ASSERT_EQ(s.of(ActionKind::HealthCheck).size(), 1U);
+  s.dispatcher_.on_health_check_result(s.now, "a", Outcome::Success, {}, s.actions);
   lose(2);
-  EXPECT_TRUE(s.of(ActionKind::Probe).empty());
+  EXPECT_TRUE(s.of(ActionKind::HealthCheck).empty());
   s.request(3, 900);
   EXPECT_TRUE(s.sent_to(3).empty());
 }
 
 TEST(Health, WaitingAloneDoesNotTakeAWorkerDown) {  // incident i3eacf2
   Settings set = settings();
-  set.may_probe = true;
-  set.classes[0].aim = Duration(9000);
+  set.health_checks_allowed = true;
+  set.classes[0].latency_objective = Duration(9000);
   Scene s(set);
   s.list({s.worker("a")});
   for (RequestId id = 1; id <= 2; ++id)
@@ -469,16 +471,17 @@
   s.list({s.worker("a")});
   std::vector<double> hints = {0, -1, std::nan(""), 1e300, std::numeric_limits<double>::infinity()};
   RequestId id = 0;
-  for (double hint : hints) {
-    s.request(++id, hint, 5000, -3);
+  for (double cost_hint : hints) {
+    s.request(++id, cost_hint, 5000, -3);
     EXPECT_EQ(s.sent_to(id), "a");
     s.end(id, 0, Outcome::Success, true);
     s.end(id, 0, Outcome::Success, true);  // a duplicate
   }
   s.actions.clear();
-  s.dispatcher_.on_attempt_end(s.now, {99, 7, false, "nobody", Outcome::Broken, {}}, s.actions);
-  s.dispatcher_.on_note(s.now, 99, -1, "a", NoteKind::Started, s.actions);
-  s.dispatcher_.on_probe_result(s.now, "nobody", Outcome::Success, {}, s.actions);
+  s.dispatcher_.on_attempt_end(s.now, {99, 7, false, "nobody", Outcome::ConnectionReset, {}},
+                               s.actions);
+  s.dispatcher_.on_job_event(s.now, 99, -1, "a", JobEventKind::Started, s.actions);
+  s.dispatcher_.on_health_check_result(s.now, "nobody", Outcome::Success, {}, s.actions);
   s.dispatcher_.on_timer(s.now, s.actions);
   EXPECT_TRUE(s.of(ActionKind::Send).empty() && s.of(ActionKind::Fail).empty() &&
               s.of(ActionKind::Reject).empty());
@@ -494,7 +497,7 @@
 }
 
 TEST(Failing, AWorkerWhoseReportsTellOfManyErrorsIsLeftAloneForAWhile) {
-  Scene s(settings(Effect::Unsafe));
+  Scene s(settings(Idempotency::NonIdempotent));
   s.list(entries(s, {"a", "b"}));
   s.request(1, 100);
   std::string bad = s.sent_to(1);
@@ -513,7 +516,7 @@
 }
 
 TEST(Failing, WhereAllFailAlikeNobodyIsLeftAlone) {
-  Scene s(settings(Effect::Unsafe));
+  Scene s(settings(Idempotency::NonIdempotent));
   s.list(entries(s, {"a", "b"}));
   for (RequestId id = 1; id <= 60; ++id) {
     s.request(id, 100);
@@ -530,8 +533,8 @@
 std::string one_run(std::uint64_t seed) {
   Settings set = settings();
   set.seed = seed;
-  set.must_subscribe = true;
-  set.must_ask_in = Duration(8000);
+  set.watch_required = true;
+  set.poll_deadline = Duration(8000);
   Scene s(set);
   std::ostringstream all;
   auto write = [&] {
@@ -540,8 +543,8 @@
           << a.at.time_since_epoch().count() << '\n';
     }
   };
-  s.list(entries(s, names(6), 2), ListKind::Persisted);
-  s.list({}, ListKind::Error);
+  s.list(entries(s, names(6), 2), EndpointUpdateKind::Cached);
+  s.list({}, EndpointUpdateKind::Failed);
   write();
   for (RequestId id = 1; id <= 40; ++id) {
     s.request(id * 7919, 10.0 + 13.0 * static_cast<double>(id % 7));
@@ -565,10 +568,10 @@
 struct TwoClasses : Scene {
   TwoClasses() : Scene(two()) { list({worker("a")}); }
   static Settings two() {
-    Settings set = settings(Effect::Unsafe);
+    Settings set = settings(Idempotency::NonIdempotent);
     set.classes.push_back(set.classes[0]);
     for (ClassSettings& c : set.classes)
-      c.aim = c.deadline = Duration(60000);
+      c.latency_objective = c.deadline = Duration(60000);
     return set;
   }
   bool goes(std::size_t job_class) {
@@ -619,7 +622,7 @@
 
 TEST(Shun,
      IsNoAnswerToOverload) {  // full, withdrawn or late: the worker is busy, whatever the class
-  for (Outcome outcome : {Outcome::Overloaded, Outcome::Withdrawn}) {
+  for (Outcome outcome : {Outcome::Rejected, Outcome::Cancelled}) {
     TwoClasses s;
     ASSERT_TRUE(s.goes(0));
     s.end(s.last, 0, outcome);
@@ -633,8 +636,8 @@
 // that stays at 100 ms has a fleet of 500 ms jobs refuse nearly all as hopeless.
 TEST(Hints, WithoutThemAClassCostsWhatItsEndsHaveShown) {
   Settings set = settings();
-  set.classes[0].aim = Duration(300);
-  set.classes[0].stretch = 1.75;
+  set.classes[0].latency_objective = Duration(300);
+  set.classes[0].objective_work_factor = 1.75;
   Scene s(set);
   s.list({s.worker("a")});
   for (RequestId id = 10; id < 16; ++id) {
@@ -674,7 +677,7 @@
 // What a cancel does not stop would run for nobody, and its client come again: a jam that feeds
 // itself.
 TEST(Hints, WithoutThemAQueuedJobIsNotGivenUpBeforeItsClientDoes) {
-  Scene s(settings(Effect::Unsafe));
+  Scene s(settings(Idempotency::NonIdempotent));
   s.list({s.worker("a")});
   s.request(1, 0);
   ASSERT_EQ(s.sent_to(1), "a");
@@ -687,7 +690,7 @@
 // pool alone.
 TEST(Hints, WithoutThemADrawnFleetUsesBothPools) {
   Settings set = settings();
-  set.balancers = 100;
+  set.dispatchers = 100;
   Scene s(set);
   auto ids = names(40);
   s.list(entries(s, ids));
@@ -727,8 +730,8 @@
 // waits at a worker that is stuck.
 TEST(Copies, AreNoneWithoutReportsWhereHalfOfTheJobsOfLateHaveWaited) {
   for (auto [prompt, reports] :
-       {std::pair(true, ReportMode::Off), std::pair(false, ReportMode::Off),
-        std::pair(false, ReportMode::Inline)}) {
+       {std::pair(true, LoadReportMode::Off), std::pair(false, LoadReportMode::Off),
+        std::pair(false, LoadReportMode::Inline)}) {
     Settings set = settings();
     set.reports = reports;
     Scene s(set);
@@ -752,7 +755,7 @@
     }
     if (prompt) {
       EXPECT_GE(copies, 4);
-    } else if (reports == ReportMode::Off) {
+    } else if (reports == LoadReportMode::Off) {
       EXPECT_LE(copies, 1);
     } else {
       EXPECT_GE(copies, 3);
@@ -765,8 +768,8 @@
 TEST(OthersWork, IsRememberedLongerWhereThereAreNoReports) {
   for (bool reports : {true, false}) {
     Settings set = settings();
-    set.parallel_tries = false;  // no queue is joined
-    set.reports = reports ? ReportMode::Inline : ReportMode::Off;
+    set.hedging_allowed = false;  // no queue is joined
+    set.reports = reports ? LoadReportMode::Inline : LoadReportMode::Off;
     Scene s(set);
     s.list({s.worker("a")});
     s.request(1, 100);
