--- a/tests/scheduling/service_rules_test.cpp
+++ b/tests/scheduling/service_rules_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 TEST(FinalAnswer, HeldJobIsRefusedBeforeTheClientGivesUp) {
-  Scene s(settings(Effect::Unsafe));
+  Scene s(settings(Idempotency::NonIdempotent));
   s.list({});
   s.request(1, 100, 800);
   EXPECT_TRUE(s.sent_to(1).empty());
@@ -18,8 +18,8 @@
 }
 
 TEST(FinalAnswer, JobThatMayHaveRunFailsInsteadAndOnlyOnce) {
-  Settings set = settings(Effect::Unsafe);
-  set.cancelling = false;
+  Settings set = settings(Idempotency::NonIdempotent);
+  set.cancellation_allowed = false;
   Scene s(set);
   s.list({s.worker("a")});
   s.request(1, 100, 800);
@@ -49,16 +49,16 @@
   s.list({});
   s.request(1, 100);
   s.actions.clear();
-  s.dispatcher_.on_client_gone(s.now, 1, s.actions);
-  s.dispatcher_.on_client_gone(s.now, 1, s.actions);
+  s.dispatcher_.on_client_disconnected(s.now, 1, s.actions);
+  s.dispatcher_.on_client_disconnected(s.now, 1, s.actions);
   s.list({s.worker("a")});
   s.pass(11000);
   EXPECT_TRUE(s.of(ActionKind::Send).empty() && s.of(ActionKind::Reject).empty());
 }
 
 struct Resend {
-  Effect effect;
-  Group group;
+  Idempotency idempotency;
+  DeduplicationScope deduplication_scope;
   Outcome outcome;
   int zone;
   int cell;  // of the only other worker; the first is in zone 0, cell 0
@@ -69,67 +69,78 @@
 
 TEST_P(Effects, ResendsOnlyWhereNothingCanHappenTwice) {
   Resend p = GetParam();
-  Scene s(settings(p.effect, p.group));
+  Scene s(settings(p.idempotency, p.deduplication_scope));
   s.list({s.worker("a")});
   s.request(1, 100);
   ASSERT_EQ(s.sent_to(1), "a");
-  s.list({s.worker("a", 0, 0, Readiness::Terminating), s.worker("b", p.zone, p.cell)});
+  s.list({s.worker("a", 0, 0, Readiness::Draining), s.worker("b", p.zone, p.cell)});
   s.end(1, 0, p.outcome);
   EXPECT_EQ(s.sent_to(1), p.resent ? "b" : "");
-  bool may_have_run = p.outcome != Outcome::Overloaded && p.outcome != Outcome::Unreachable;
-  if (!p.resent && may_have_run && p.effect != Effect::Safe) {
+  bool may_have_run = p.outcome != Outcome::Rejected && p.outcome != Outcome::ConnectFailed;
+  if (!p.resent && may_have_run && p.idempotency != Idempotency::Idempotent) {
     EXPECT_TRUE(s.of(ActionKind::Reject).empty()) << "a refusal would promise that nothing ran";
   }
 }
 
 INSTANTIATE_TEST_SUITE_P(
     All, Effects,
-    ::testing::Values(Resend{Effect::Safe, Group::All, Outcome::Broken, 1, 1, true},
-                      Resend{Effect::Unsafe, Group::All, Outcome::Broken, 0, 0, false},
-                      Resend{Effect::Unsafe, Group::All, Outcome::Failure, 0, 0, false},
-                      Resend{Effect::Unsafe, Group::All, Outcome::Withdrawn, 0, 0, false},
-                      Resend{Effect::Unsafe, Group::All, Outcome::Unreachable, 0, 0, true},
-                      Resend{Effect::Unsafe, Group::All, Outcome::Overloaded, 0, 0, true},
-                      Resend{Effect::Keyed, Group::All, Outcome::Broken, 1, 1, true},
-                      Resend{Effect::Keyed, Group::Zone, Outcome::Broken, 0, 1, true},
-                      Resend{Effect::Keyed, Group::Zone, Outcome::Broken, 1, 1, false},
-                      Resend{Effect::Keyed, Group::Cell, Outcome::Broken, 0, 0, true},
-                      Resend{Effect::Keyed, Group::Cell, Outcome::Broken, 0, 1, false},
-                      Resend{Effect::Keyed, Group::Cell, Outcome::Unreachable, 1, 1, true}));
+    ::testing::Values(
+        Resend{Idempotency::Idempotent, DeduplicationScope::All, Outcome::ConnectionReset, 1, 1,
+               true},
+        Resend{Idempotency::NonIdempotent, DeduplicationScope::All, Outcome::ConnectionReset, 0, 0,
+               false},
+        Resend{Idempotency::NonIdempotent, DeduplicationScope::All, Outcome::Failure, 0, 0, false},
+        Resend{Idempotency::NonIdempotent, DeduplicationScope::All, Outcome::Cancelled, 0, 0,
+               false},
+        Resend{Idempotency::NonIdempotent, DeduplicationScope::All, Outcome::ConnectFailed, 0, 0,
+               true},
+        Resend{Idempotency::NonIdempotent, DeduplicationScope::All, Outcome::Rejected, 0, 0, true},
+        Resend{Idempotency::KeyedIdempotent, DeduplicationScope::All, Outcome::ConnectionReset, 1,
+               1, true},
+        Resend{Idempotency::KeyedIdempotent, DeduplicationScope::Zone, Outcome::ConnectionReset, 0,
+               1, true},
+        Resend{Idempotency::KeyedIdempotent, DeduplicationScope::Zone, Outcome::ConnectionReset, 1,
+               1, false},
+        Resend{Idempotency::KeyedIdempotent, DeduplicationScope::Cell, Outcome::ConnectionReset, 0,
+               0, true},
+        Resend{Idempotency::KeyedIdempotent, DeduplicationScope::Cell, Outcome::ConnectionReset, 0,
+               1, false},
+        Resend{Idempotency::KeyedIdempotent, DeduplicationScope::Cell, Outcome::ConnectFailed, 1, 1,
+               true}));
 
 TEST(Effects, KeyedIsNotResentBeyondTheMemorySpan) {
   for (double waited : {4000.0, 5001.0}) {
-    Settings set = settings(Effect::Keyed, Group::All);
-    set.classes[0].aim = Duration(9000);
+    Settings set = settings(Idempotency::KeyedIdempotent, DeduplicationScope::All);
+    set.classes[0].latency_objective = Duration(9000);
     Scene s(set);
     s.list({s.worker("a")});
     s.request(1, 100);
     ASSERT_EQ(s.sent_to(1), "a");
     s.started(1);
     s.pass(waited);
-    s.list({s.worker("a", 0, 0, Readiness::Terminating), s.worker("b")});
-    s.end(1, 0, Outcome::Broken);
+    s.list({s.worker("a", 0, 0, Readiness::Draining), s.worker("b")});
+    s.end(1, 0, Outcome::ConnectionReset);
     EXPECT_EQ(!s.sent_to(1).empty(), waited < 5000) << waited;
   }
 }
 
 TEST(Effects, AttemptsStopAtTheAllowedNumber) {
-  Settings set = settings(Effect::Safe);
+  Settings set = settings(Idempotency::Idempotent);
   set.max_attempts = 2;
   Scene s(set);
   s.list({s.worker("a"), s.worker("b"), s.worker("c")});
   s.request(1, 10);
   ASSERT_FALSE(s.sent_to(1).empty());
-  s.end(1, 0, Outcome::Unreachable);
+  s.end(1, 0, Outcome::ConnectFailed);
   ASSERT_FALSE(s.sent_to(1).empty());
-  s.end(1, 1, Outcome::Unreachable);
+  s.end(1, 1, Outcome::ConnectFailed);
   EXPECT_TRUE(s.sent_to(1).empty());
   EXPECT_TRUE(s.answered(1, ActionKind::Reject));
 }
 
 TEST(Effects, OneAttemptAtATimeWhereCopiesAreNotAllowed) {
-  Settings set = settings(Effect::Safe);
-  set.parallel_tries = false;
+  Settings set = settings(Idempotency::Idempotent);
+  set.hedging_allowed = false;
   Scene s(set);
   s.list({s.worker("a"), s.worker("b")});
   s.request(1, 50);
@@ -141,12 +152,12 @@
 TEST(Drain, NothingNewOnceTold) {
   Scene s(settings());
   s.list({s.worker("a")});
-  s.list({s.worker("a", 0, 0, Readiness::Terminating)}, ListKind::Partial);
+  s.list({s.worker("a", 0, 0, Readiness::Draining)}, EndpointUpdateKind::Delta);
   s.request(1, 10);
   EXPECT_TRUE(s.sent_to(1).empty());
-  s.list({s.worker("b")}, ListKind::Partial);  // the held job goes to the newcomer
+  s.list({s.worker("b")}, EndpointUpdateKind::Delta);  // the held job goes to the newcomer
   EXPECT_EQ(s.sent_to(1), "b");
-  s.list({s.worker("b", 0, 0, Readiness::Gone)}, ListKind::Partial);
+  s.list({s.worker("b", 0, 0, Readiness::Removed)}, EndpointUpdateKind::Delta);
   s.request(2, 10);
   EXPECT_TRUE(s.sent_to(2).empty());
 }
@@ -161,20 +172,20 @@
 
 TEST(Drain, SubscribesAtLaunchAndAgainAfterErrorsWellInTime) {
   Settings set = settings();
-  set.must_subscribe = true;
-  set.must_ask_in = Duration(8000);
+  set.watch_required = true;
+  set.poll_deadline = Duration(8000);
   Scene s(set);
-  s.list({s.worker("a")}, ListKind::Persisted);
-  EXPECT_EQ(s.of(ActionKind::Subscribe).size(), 1U);
+  s.list({s.worker("a")}, EndpointUpdateKind::Cached);
+  EXPECT_EQ(s.of(ActionKind::Watch).size(), 1U);
   for (int i = 0; i < 8; ++i) {
-    s.list({}, ListKind::Error);
-    EXPECT_TRUE(s.of(ActionKind::Subscribe).empty()) << "must back off first";
+    s.list({}, EndpointUpdateKind::Failed);
+    EXPECT_TRUE(s.of(ActionKind::Watch).empty()) << "must back off first";
     s.pass(2100);
-    EXPECT_EQ(s.of(ActionKind::Subscribe).size(), 1U) << i;
+    EXPECT_EQ(s.of(ActionKind::Watch).size(), 1U) << i;
   }
-  s.list({s.worker("a")}, ListKind::Complete);
+  s.list({s.worker("a")}, EndpointUpdateKind::Snapshot);
   s.pass(20000);
-  EXPECT_TRUE(s.of(ActionKind::Subscribe).empty());
+  EXPECT_TRUE(s.of(ActionKind::Watch).empty());
 }
 
 // A hundred dispatchers start together, and discovery fails every call. How many ask in each 100 ms
@@ -183,21 +194,21 @@
   std::vector<int> calls(200);
   for (int index = 0; index < 100; ++index) {
     Settings set = settings();
-    set.must_subscribe = true;
-    set.must_ask_in = Duration(10000);
-    set.balancers = 100;
+    set.watch_required = true;
+    set.poll_deadline = Duration(10000);
+    set.dispatchers = 100;
     set.index = index;
     set.seed = 1000 + index;
     Scene s(set);
-    s.list(std::vector<WorkerEntry>(list_held ? 1 : 0, s.worker("a")), ListKind::Persisted);
-    bool asked = !s.of(ActionKind::Subscribe).empty();
+    s.list(std::vector<WorkerEntry>(list_held ? 1 : 0, s.worker("a")), EndpointUpdateKind::Cached);
+    bool asked = !s.of(ActionKind::Watch).empty();
     for (int& now : calls) {
       if (asked) {
         ++now;
-        s.list({}, ListKind::Error);
+        s.list({}, EndpointUpdateKind::Failed);
       }
       s.pass(100);
-      asked = !s.of(ActionKind::Subscribe).empty();
+      asked = !s.of(ActionKind::Watch).empty();
     }
   }
   return calls;
@@ -223,19 +234,19 @@
   double of_budget = 0;
   double of_fall = 0;  // of what the settings allow, N requests, and of N + 2 x root of N + 2
 };
-MostInASpan most_in_a_span(int balancers, double hint, double restart_every = 1e9) {
+MostInASpan most_in_a_span(int dispatchers, double cost_hint, double restart_every = 1e9) {
   std::vector<std::pair<double, double>> sent;
   const Time begin{Duration(1000000)};
-  for (int index = 0; index < balancers; ++index) {
-    Settings set = settings(Effect::Unsafe);
-    set.balancers = balancers;
+  for (int index = 0; index < dispatchers; ++index) {
+    Settings set = settings(Idempotency::NonIdempotent);
+    set.dispatchers = dispatchers;
     set.index = index;
-    set.classes[0].aim = Duration(1e6);
+    set.classes[0].latency_objective = Duration(1e6);
     set.classes[0].deadline = Duration(1e6);
     std::unique_ptr<Scene> s;
     auto note_sent = [&] {
       for (const Action& a : s->of(ActionKind::Send)) {
-        sent.emplace_back((s->now - begin).count(), hint);
+        sent.emplace_back((s->now - begin).count(), cost_hint);
         std::vector<Action> ignored;
         s->dispatcher_.on_attempt_end(s->now, {a.id, 0, true, "a", Outcome::Success, {}}, ignored);
       }
@@ -250,7 +261,7 @@
         cold.online_since = begin;
         s->list({cold});
       }
-      s->request(++id, hint, 1e6);
+      s->request(++id, cost_hint, 1e6);
       note_sent();
       s->pass(50);
       note_sent();
@@ -265,29 +276,29 @@
       total += at >= start && at < std::min(start + 1000, 10000.0) ? work : 0;
     double warm = 0.25 + 0.75 * std::min(1.0, start / 10000);
     double budget = 3 * 2 * warm * 1000;  // two slots at speed 1, as guessed before any report
-    double n = budget / hint;
+    double n = budget / cost_hint;
     worst.of_budget = std::max(worst.of_budget, total / budget);
-    worst.of_fall = std::max(worst.of_fall, total / hint / (n + 2 * std::sqrt(n) + 2));
+    worst.of_fall = std::max(worst.of_fall, total / cost_hint / (n + 2 * std::sqrt(n) + 2));
   }
   return worst;
 }
 
 TEST(Cold, AllDispatchersTogetherStayWithinTheBudget) {
-  for (int balancers : {1, 2, 3, 7, 14}) {
-    double used = most_in_a_span(balancers, 40).of_budget;
-    EXPECT_LE(used, 1.0) << balancers;
-    EXPECT_GT(used, 0.1) << balancers << ": a cold worker must get something";
+  for (int dispatchers : {1, 2, 3, 7, 14}) {
+    double used = most_in_a_span(dispatchers, 40).of_budget;
+    EXPECT_LE(used, 1.0) << dispatchers;
+    EXPECT_GT(used, 0.1) << dispatchers << ": a cold worker must get something";
   }
 }
 
 TEST(Cold, ANewProcessLeavesRoomForWhatItsPredecessorMayHaveSent) {
-  for (int balancers : {1, 2, 3, 7, 14}) {
+  for (int dispatchers : {1, 2, 3, 7, 14}) {
     for (double every : {1300, 1700, 2900}) {
-      MostInASpan used = most_in_a_span(balancers, 40, every);
-      EXPECT_LE(used.of_fall, 1.0) << balancers << " started again every " << every;
+      MostInASpan used = most_in_a_span(dispatchers, 40, every);
+      EXPECT_LE(used.of_fall, 1.0) << dispatchers << " started again every " << every;
       EXPECT_LE(used.of_budget, 1.1)
-          << balancers << " started again every " << every;  // it grows in a span
-      EXPECT_GT(used.of_budget, 0.1) << balancers << ": a cold worker must get something";
+          << dispatchers << " started again every " << every;  // it grows in a span
+      EXPECT_GT(used.of_budget, 0.1) << dispatchers << ": a cold worker must get something";
     }
   }
 }
@@ -299,7 +310,7 @@
 TEST(Cold, ALoneDispatcherSpendsNoThirdOfTheWholeOnOneJob) {  // found by hunt: its hint may lie by
                                                               // a factor
   EXPECT_LE(most_in_a_span(1, 40).of_budget, 0.6);
-  Settings set = settings(Effect::Unsafe);
+  Settings set = settings(Idempotency::NonIdempotent);
   Scene s(set);
   WorkerEntry cold = s.worker("a");
   cold.online_since = s.now;
@@ -316,8 +327,8 @@
 // though their hints were a twenty-fifth of what such jobs take on average. A hint counts for no
 // less than its class does.
 TEST(Cold, AFloodOfShortHintsCountsAsJobsOfItsClass) {
-  Settings set = settings(Effect::Unsafe);
-  set.classes[0].aim = set.classes[0].deadline = Duration(1e6);
+  Settings set = settings(Idempotency::NonIdempotent);
+  set.classes[0].latency_objective = set.classes[0].deadline = Duration(1e6);
   Scene s(set);
   WorkerEntry cold = s.worker("a");
   cold.online_since = s.now;
@@ -343,8 +354,8 @@
 }
 
 TEST(Cold, RestartUnderTheSameIdIsColdAgain) {
-  Settings set = settings(Effect::Unsafe);
-  set.balancers = 4;
+  Settings set = settings(Idempotency::NonIdempotent);
+  set.dispatchers = 4;
   set.index = 3;
   Scene s(set);
   s.list({s.worker("a")});
@@ -353,7 +364,7 @@
   s.end(1, 0, Outcome::Success, true);
   WorkerEntry again = s.worker("a");
   again.online_since = s.now;
-  s.list({again}, ListKind::Partial);
+  s.list({again}, EndpointUpdateKind::Delta);
   s.request(2, 400);
   EXPECT_TRUE(s.sent_to(2).empty());
   s.pass(10001);
@@ -362,20 +373,20 @@
 }
 
 TEST(Cold, BackFromSilenceIsColdUntilShownOtherwise) {
-  Settings set = settings(Effect::Unsafe);
-  set.may_probe = true;
-  set.balancers = 4;
+  Settings set = settings(Idempotency::NonIdempotent);
+  set.health_checks_allowed = true;
+  set.dispatchers = 4;
   Scene s(set);
   s.list({s.worker("a")});
   s.request(1, 10);
   ASSERT_EQ(s.sent_to(1), "a");
-  s.end(1, 0, Outcome::Broken);
-  s.dispatcher_.on_probe_result(s.now, "a", Outcome::Unreachable, {}, s.actions);
+  s.end(1, 0, Outcome::ConnectionReset);
+  s.dispatcher_.on_health_check_result(s.now, "a", Outcome::ConnectFailed, {}, s.actions);
   s.actions.clear();
   s.pass(1100);
-  ASSERT_EQ(s.of(ActionKind::Probe).size(), 1U);
+  ASSERT_EQ(s.of(ActionKind::HealthCheck).size(), 1U);
   s.actions.clear();
-  s.dispatcher_.on_probe_result(s.now, "a", Outcome::Success, {}, s.actions);
+  s.dispatcher_.on_health_check_result(s.now, "a", Outcome::Success, {}, s.actions);
   s.request(2, 900);
   EXPECT_TRUE(s.sent_to(2).empty());
 }
--- a/tests/scheduling/support.h
+++ b/tests/scheduling/support.h
@@ -10,32 +10,34 @@
 
 namespace dispatcher::scheduling::testing {
 
-inline ClassSettings job_class(Effect effect, Group group = Group::Zone) {
+inline ClassSettings job_class(Idempotency idempotency,
+                               DeduplicationScope deduplication_scope = DeduplicationScope::Zone) {
   ClassSettings c;
   c.name = "a";
-  c.effect = effect;
-  c.group = group;
-  c.memory_span = Duration(5000);
-  c.aim = Duration(200);
-  c.stretch = 3;
+  c.idempotency = idempotency;
+  c.deduplication_scope = deduplication_scope;
+  c.deduplication_window = Duration(5000);
+  c.latency_objective = Duration(200);
+  c.objective_work_factor = 3;
   c.deadline = Duration(10000);
   return c;
 }
 
-inline Settings settings(Effect effect = Effect::Safe, Group group = Group::Zone) {
+inline Settings settings(Idempotency idempotency = Idempotency::Idempotent,
+                         DeduplicationScope deduplication_scope = DeduplicationScope::Zone) {
   Settings s;
   s.seed = 7;
-  s.classes = {job_class(effect, group)};
+  s.classes = {job_class(idempotency, deduplication_scope)};
   s.max_attempts = 4;
-  s.parallel_tries = true;
+  s.hedging_allowed = true;
   s.connect_timeout = Duration(100);
-  s.cancelling = true;
-  s.tells_start = true;
-  s.cold_from = 0.25;
-  s.ramp_time = Duration(10000);
-  s.tip_multiple = 3;
-  s.fall_span = Duration(1000);
-  s.worth_by_work = true;
+  s.cancellation_allowed = true;
+  s.reports_job_start = true;
+  s.slow_start_initial_fraction = 0.25;
+  s.slow_start_duration = Duration(10000);
+  s.overload_multiple = 3;
+  s.overload_window = Duration(1000);
+  s.weight_by_work = true;
   return s;
 }
 
@@ -53,17 +55,18 @@
     e.readiness = readiness;
     return e;
   }
-  void list(const std::vector<WorkerEntry>& entries, ListKind kind = ListKind::Complete) {
+  void list(const std::vector<WorkerEntry>& entries,
+            EndpointUpdateKind kind = EndpointUpdateKind::Snapshot) {
     actions.clear();
-    dispatcher_.on_list(now, kind, entries, actions);
+    dispatcher_.on_endpoint_update(now, kind, entries, actions);
   }
-  void request(RequestId id, double hint, double patience = 10000, double slots = 1,
+  void request(RequestId id, double cost_hint, double timeout = 10000, double slots = 1,
                std::size_t tenant = 0) {
     actions.clear();
     Request r;
     r.id = id;
-    r.patience = Duration(patience);
-    r.hint = Duration(hint);
+    r.timeout = Duration(timeout);
+    r.cost_hint = Duration(cost_hint);
     r.slots = slots;
     r.tenant = tenant;
     dispatcher_.on_request(now, r, actions);
@@ -76,12 +79,12 @@
   void started(RequestId id, int attempt = 0) {
     std::string worker = attempt_worker.at({id, attempt});
     actions.clear();
-    dispatcher_.on_note(now, id, attempt, worker, NoteKind::Started, actions);
+    dispatcher_.on_job_event(now, id, attempt, worker, JobEventKind::Started, actions);
   }
   // Jobs 1 and 2 start and keep both slots of `worker`, the only one listed, busy.
-  void fill(const std::string& worker, double hint) {
+  void fill(const std::string& worker, double cost_hint) {
     for (RequestId id : {1, 2}) {
-      request(id, hint);
+      request(id, cost_hint);
       ASSERT_EQ(sent_to(id), worker);
       started(id);
     }
@@ -123,7 +126,7 @@
   std::vector<Action> actions;
   std::map<std::pair<RequestId, int>, std::string> attempt_worker;
   std::map<RequestId, int> attempts;
-  Dispatcher dispatcher_;
+  Scheduler dispatcher_;
 };
 
 }  // namespace dispatcher::scheduling::testing
--- a/tests/simulator_adapter/wire_test.cpp
+++ b/tests/simulator_adapter/wire_test.cpp
@@ -89,12 +89,12 @@
   read_settings(
       "Invariants.BudgetFree=2.0 Invariants.ExtraPerRequest=0.25 Invariants.ExtraWindowMs=4000.0",
       s);
-  EXPECT_EQ(s.budget_free, 2);
-  EXPECT_EQ(s.extra_per_request, 0.25);
-  ASSERT_TRUE(s.extra_window);
-  EXPECT_EQ(s.extra_window->count(), 4000);
+  EXPECT_EQ(s.retry_budget_free, 2);
+  EXPECT_EQ(s.retry_budget_ratio, 0.25);
+  ASSERT_TRUE(s.retry_budget_window);
+  EXPECT_EQ(s.retry_budget_window->count(), 4000);
   read_settings("TickMs=2", none);
-  EXPECT_FALSE(none.budget_free || none.extra_per_request || none.extra_window);
+  EXPECT_FALSE(none.retry_budget_free || none.retry_budget_ratio || none.retry_budget_window);
 }
 
 TEST(Wire, MessagesFromPeersArePassedOver) {
@@ -172,13 +172,13 @@
       s);
   ASSERT_EQ(s.classes.size(), 2U);
   EXPECT_EQ(s.index, 2);
-  EXPECT_EQ(s.classes[0].effect, scheduling::Effect::Keyed);
-  EXPECT_EQ(s.classes[0].group, scheduling::Group::Zone);
-  EXPECT_EQ(s.classes[0].memory_span.count(), 7000);
-  EXPECT_EQ(s.classes[0].stretch, 1.5);
-  EXPECT_EQ(s.classes[1].stretch, 3);
+  EXPECT_EQ(s.classes[0].idempotency, scheduling::Idempotency::KeyedIdempotent);
+  EXPECT_EQ(s.classes[0].deduplication_scope, scheduling::DeduplicationScope::Zone);
+  EXPECT_EQ(s.classes[0].deduplication_window.count(), 7000);
+  EXPECT_EQ(s.classes[0].objective_work_factor, 1.5);
+  EXPECT_EQ(s.classes[1].objective_work_factor, 3);
   EXPECT_EQ(s.classes[1].kind, 2);
-  EXPECT_EQ(s.reports, scheduling::ReportMode::OnProbe);
+  EXPECT_EQ(s.reports, scheduling::LoadReportMode::OnProbe);
   EXPECT_EQ(s.max_retry_after.count(), 0)
       << "clients are not handed an advice where that is not permitted";
   EXPECT_FALSE(columns.x0_is_free_slots);
@@ -191,7 +191,7 @@
   write_action({.kind = ActionKind::Reject, .id = 0xab, .retry_after = scheduling::Duration(250)},
                out);
   write_action({.kind = ActionKind::Cancel, .id = 0xab, .attempt = 2}, out);
-  write_action({.kind = ActionKind::Probe, .worker = "w:1"}, out);
+  write_action({.kind = ActionKind::HealthCheck, .worker = "w:1"}, out);
   EXPECT_EQ(out,
             "PUSH_BACK 00000000000000ab 250.000\nABORT_ATTEMPT 00000000000000ab 2\nASK_LOAD w:1\n");
 }
--- a/tests/streaming/streaming_test.cpp
+++ b/tests/streaming/streaming_test.cpp
@@ -1,4 +1,4 @@
-// Bodies that pass through the program as a process, between stand-ins on real sockets. Verdicts
+// Bodies that pass through the program as a process, between stubs on real sockets. Verdicts
 // are by order and count: nothing here depends on how fast the machine is, but for stalls that are
 // longer than any pause of it.
 #include <catch2/catch.hpp>
@@ -24,7 +24,7 @@
         dispatcher(
             {environment("DISPATCHER"), environment("DISPATCHER_CONFIG"), features, own_host()},
             fleet) {
-    // The module learns how much its workers can do; until then it holds orders back.
+    // The scheduler learns how much its workers can do; until then it holds orders back.
     for (std::uint64_t i = 0; i < 8; ++i) {
       Order first;
       first.id = 9000 + i;
--- a/tests/testbed/fleet_simulation_test.cpp
+++ b/tests/testbed/fleet_simulation_test.cpp
@@ -1,6 +1,6 @@
-// The scenes of testbed/fleet_scenes.h, a hundred dispatchers before sixty workers, with bounds on
-// what the fleet costs and how soon it learns. Each bound but those named fails on the variant in
-// which every dispatcher thinks it is alone.
+// The scenes of testbed/fleet_scenarios.h, a hundred dispatchers before sixty workers, with bounds
+// on what the fleet costs and how soon it learns. Each bound but those named fails on the variant
+// in which every dispatcher thinks it is alone.
 #include <gtest/gtest.h>
 
 #include "testbed/simulation/fleet_scenarios.h"
@@ -9,9 +9,9 @@
 namespace {
 
 FleetCounts scene(const std::string& name, bool news = true, bool thinks_alone = false) {
-  for (const FleetScene& s : fleet_scenes()) {
+  for (const FleetScenario& s : fleet_scenarios()) {
     if (s.name == name) {
-      FleetWorld::Options o;
+      FleetSimulation::Options o;
       o.news = news;
       o.thinks_alone = thinks_alone;
       return play(s, o);
@@ -33,10 +33,10 @@
 }
 
 TEST(World, EveryOrderIsAnsweredOnceOrStillOpen) {
-  for (const FleetScene& s : fleet_scenes()) {
-    FleetWorld::Options o;
+  for (const FleetScenario& s : fleet_scenarios()) {
+    FleetSimulation::Options o;
     s.options(o);
-    FleetWorld w(o);
+    FleetSimulation w(o);
     s.troubles(w);
     w.run_until(s.seconds);
     const FleetCounts& c = w.counts();
@@ -80,12 +80,12 @@
 // Two thirds of the workers come back cold, and all dispatchers start again while they are: none of
 // them knows what has been sent there before. All together stay within what their holders may send.
 FleetCounts cold(int dispatchers, int workers, bool restart, bool thinks_alone = false) {
-  FleetWorld::Options o;
+  FleetSimulation::Options o;
   o.dispatchers = dispatchers;
   o.workers = workers;
   o.thinks_alone = thinks_alone;
   o.load = dispatchers == 300 ? 0.9 : 1.6;
-  FleetWorld w(o);
+  FleetSimulation w(o);
   for (int i = 0; i < workers * 2 / 3; ++i)
     w.at(1, [&w, i] { w.replace(i); });
   for (int i = 0; restart && i < dispatchers; ++i)
@@ -124,7 +124,7 @@
 // longer, as held jobs went to whoever had not been heard of for longest, and late ones took the
 // slots of others' fresh ones.
 TEST(World, AFleetComesOutOfAJam) {
-  for (const JamScene& s : jam_scenes()) {
+  for (const JamScenario& s : jam_scenarios()) {
     FleetCounts c = play(s, 1, 150);
     EXPECT_GT(c.share(1, kJamFrom - 1), 0.98) << s.name;
     EXPECT_GE(c.settles(kJamFrom, s.over), 0) << s.name;
@@ -140,7 +140,7 @@
   for (std::uint64_t seed : {1, 2}) {
     for (int dispatchers : {6, 30}) {
       for (bool probes : {false, true}) {
-        FleetWorld::Options o;
+        FleetSimulation::Options o;
         o.dispatchers = dispatchers;
         o.workers = dispatchers == 6 ? 12 : 30;
         o.slots = 2;
@@ -148,7 +148,7 @@
         o.seed = seed;
         o.bare = true;
         o.probes = probes;
-        FleetWorld w(o);
+        FleetSimulation w(o);
         w.at(5, [&w] { w.load(2.2); });
         w.at(9, [&w] { w.load(1); });
         w.run_until(30);
--- a/tests/transport/sockets_test.cpp
+++ b/tests/transport/sockets_test.cpp
@@ -91,7 +91,7 @@
   CHECK_THROWS_AS(other.listen(s.address, s.server, true), std::runtime_error);
 }
 
-// Guards the descriptors of the instances' side: past the limit an idle client goes, else the
+// Guards the descriptors of the workers' side: past the limit an idle client goes, else the
 // newcomer waits.
 TEST_CASE("a crowd sheds its idle connections and leaves the others their descriptors") {
   Scene s({2, 16});
@@ -236,11 +236,11 @@
   };
   std::string log_text;
   dispatcher::operations::Log log(clock, [&](const std::string& line) { log_text += line + '\n'; });
-  dispatcher::fleet::UdpPeers::Options options;
+  dispatcher::fleet::FleetSocket::Options options;
   options.listen = address(0);
   for (int i = 0; i < 24; ++i)
     options.peers.push_back(address(i));
-  dispatcher::fleet::UdpPeers peers(loop.context(), options, deadlines, clock, log);
+  dispatcher::fleet::FleetSocket peers(loop.context(), options, deadlines, clock, log);
   std::string got;
   auto count = [&](const std::string&, std::string_view bytes) {
     got += bytes;
@@ -259,14 +259,14 @@
   peer.send(address(0), std::string(2000, 'x'));
   while (!said("message 1 dropped (no loads), of 512 bytes from " + address(1)))
     loop.turn();
-  std::string instance;  // one that is near to both
-  for (int i = 0; instance.empty(); ++i) {
+  std::string worker;  // one that is near to both
+  for (int i = 0; worker.empty(); ++i) {
     auto near = dispatcher::fleet::near_to("s-" + std::to_string(i), 24);
     if (std::ranges::count(near, 0) && std::ranges::count(near, 1))
-      instance = "s-" + std::to_string(i);
+      worker = "s-" + std::to_string(i);
   }
-  peers.list({instance});
-  peers.have(instance, 2);
+  peers.list({worker});
+  peers.have(worker, 2);
   while (got.empty())
     loop.turn();
   CHECK(got.size() == 3);
