--- a/src/fleet/fleet_socket.cpp
+++ b/src/fleet/fleet_socket.cpp
@@ -182,8 +182,8 @@
   loads_.list(workers, [this](const std::string& worker, int jobs) { heard(worker, jobs); });
 }
 
-void FleetSocket::have(const std::string& worker, int jobs) {
-  loads_.have(clock_.now(), worker, jobs);
+void FleetSocket::announce(const std::string& worker, int jobs) {
+  loads_.announce(clock_.now(), worker, jobs);
   tell();
 }
 
--- a/src/fleet/fleet_socket.h
+++ b/src/fleet/fleet_socket.h
@@ -43,7 +43,7 @@
   void attach(routing::Router& router) { router_ = &router; }
   void list(const std::vector<std::string>&
                 workers);  // on the own list; after the scheduler has heard of them
-  void have(const std::string& worker, int jobs) override;
+  void announce(const std::string& worker, int jobs) override;
   // While another process of this dispatcher speaks for it, this one says and hears nothing.
   void speak(bool on);
   void exchange(std::vector<Key> keys);  // from now on, where there were some
--- a/src/fleet/load_gossip.cpp
+++ b/src/fleet/load_gossip.cpp
@@ -94,7 +94,7 @@
   return all;
 }
 
-void LoadGossip::have(Time now, const std::string& worker, int jobs) {
+void LoadGossip::announce(Time now, const std::string& worker, int jobs) {
   auto it = workers_.find(short_name(worker));
   if (it == workers_.end() || it->second.told.empty())
     return;
--- a/src/fleet/load_gossip.h
+++ b/src/fleet/load_gossip.h
@@ -54,15 +54,15 @@
   // The others that are near to a worker, and so told of what we have there; nobody unless we are
   // near ourselves.
   std::vector<int> listeners(const std::string& worker) const;
-  void have(Time now, const std::string& worker, int jobs);  // so many of our own are there now
+  void announce(Time now, const std::string& worker, int jobs);  // so many of our own are there now
   struct Message {
     int to = 0;  // a dispatcher's number
     std::string bytes;
   };
-  // What is to be told by now; called after have(), and each kLeft / 2 where nothing else happens.
-  // A count that rose goes at once. One that fell waits for a message to the same listener while
-  // somebody near has nothing to do, since nobody then waits for the slot. What stands is told
-  // again at half of kKept.
+  // What is to be told by now; called after announce(), and each kLeft / 2 where nothing else
+  // happens. A count that rose goes at once. One that fell waits for a message to the same listener
+  // while somebody near has nothing to do, since nobody then waits for the slot. What stands is
+  // told again at half of kKept.
   std::vector<Message> due(Time now, std::size_t room = kLongest);  // room: bytes of one message
   // What waits for this listener, for a datagram that goes there anyway; at most `room` bytes.
   std::string riding(Time now, int listener, std::size_t room);
--- a/src/http/client_server.cpp
+++ b/src/http/client_server.cpp
@@ -75,7 +75,7 @@
     try {
       message = s.parser.next();
     } catch (const protocol::HttpError& e) {
-      return reject(at, e.status, e.what());
+      return respond_error(at, e.status, e.what());
     }
     if (message) {
       on_.deadlines.drop(s.slow);
@@ -106,7 +106,7 @@
       return;
     slow->second.slow = {};
     if (!slow->second.parser.idle())
-      return reject(at, 408, "the request did not come whole in time");
+      return respond_error(at, 408, "the request did not come whole in time");
     forget(at);
     on_.network.finish(at);
   });
@@ -174,7 +174,7 @@
   try {
     command = protocol::parse_client_request(std::move(m), on_.words);
   } catch (const protocol::Refused& e) {
-    return reject(at, 400, e.what());
+    return respond_error(at, 400, e.what());
   }
   auto waited = on_.clock.now() - arrived(sessions_.at(at));
   command.request.timeout = std::max(scheduling::Duration(0), command.request.timeout - waited);
@@ -184,13 +184,13 @@
   }
   scheduling::Request request = command.request;
   if (stage_ == Stage::Ending) {
-    router_->count_nack(request.job_class);
+    router_->count_rejected(request.job_class);
     return respond(at, 503, {}, "this dispatcher ends");
   }
   auto cargo = std::make_shared<HttpRequestPayload>(std::move(command));
   if (!give_pipes(*cargo, streamed)) {
     on_.log.line("stream", "no memory for another body; a command was refused");
-    router_->count_nack(request.job_class);
+    router_->count_rejected(request.job_class);
     if (streamed)
       sessions_.at(at).keep_alive = false;
     return respond(at, 503, {}, "too many bodies are on their way");
@@ -213,7 +213,7 @@
       sessions_.at(at).keep_alive = false;
     respond(at, 503, {}, "too many commands are open");
   } else if (taken == Taking::Duplicate) {
-    reject(at, 409, "a command had this X-Correlation-Id a moment ago");
+    respond_error(at, 409, "a command had this X-Correlation-Id a moment ago");
   }
 }
 
@@ -222,9 +222,9 @@
   try {
     n = protocol::parse_job_event(m.body, on_.words);
   } catch (const protocol::Refused& e) {
-    return reject(at, 400, std::string("call-back: ") + e.what());
+    return respond_error(at, 400, std::string("call-back: ") + e.what());
   }
-  if (ward_news_ && ward_news_(n))
+  if (adopted_job_event_ && adopted_job_event_(n))
     return respond(at, 204, {}, {});
   if (forward_ && !router_->knows(n.id) && forward_(m.body, [this, at](bool taken) {
         auto it = sessions_.find(at);
@@ -238,10 +238,10 @@
     return;
   }
   respond(at, 204, {}, {});
-  hear(std::move(n));
+  on_job_event(std::move(n));
 }
 
-void ClientServer::hear(protocol::JobEvent n) {
+void ClientServer::on_job_event(protocol::JobEvent n) {
   routing::Progress p;
   p.id = n.id;
   p.worker = std::move(n.from);
@@ -282,7 +282,7 @@
 
 // What makes no sense costs its sender the connection: what follows on it may be the rest of the
 // same nonsense.
-void ClientServer::reject(SlotRef at, int status, const std::string& why) {
+void ClientServer::respond_error(SlotRef at, int status, const std::string& why) {
   on_.log.line("client", std::to_string(status) + ": " + why);
   if (auto it = sessions_.find(at); it != sessions_.end())
     it->second.keep_alive = false;
@@ -314,7 +314,7 @@
   begin_reply(at, s, std::move(reply));
 }
 
-void ClientServer::nack(routing::RequestRef command, scheduling::Duration retry_after) {
+void ClientServer::reject(routing::RequestRef command, scheduling::Duration retry_after) {
   Headers headers;
   if (retry_after.count() > 0) {
     char seconds[32];
@@ -413,7 +413,8 @@
   return true;
 }
 
-std::optional<ClientServer::Parting> ClientServer::part_with(routing::RequestRef command) {
+std::optional<ClientServer::ReleasedConnection> ClientServer::release_connection(
+    routing::RequestRef command) {
   auto it = waiting_.find(command);
   if (it == waiting_.end())
     return std::nullopt;
@@ -422,7 +423,7 @@
   std::optional<std::string> unread = s.parser.unread();
   if (s.transfer || !unread)
     return std::nullopt;
-  Parting p{on_.network.release(at), std::move(*unread), s.keep_alive, s.old};
+  ReleasedConnection p{on_.network.release(at), std::move(*unread), s.keep_alive, s.old};
   if (!p.connection)
     return std::nullopt;
   waiting_.erase(it);
@@ -430,7 +431,8 @@
   return p;
 }
 
-void ClientServer::adopt_ward(SlotRef at, const Parting& as, std::function<void()> left) {
+void ClientServer::adopt_request_connection(SlotRef at, const ReleasedConnection& as,
+                                            std::function<void()> left) {
   Session& s = begin(at);
   s.keep_alive = as.keep_alive;
   s.old = as.old;
@@ -439,7 +441,7 @@
   feed(s, as.unread);
 }
 
-void ClientServer::answer_ward(SlotRef at, int status, std::string_view body) {
+void ClientServer::answer_adopted(SlotRef at, int status, std::string_view body) {
   auto it = sessions_.find(at);
   if (it == sessions_.end())
     return;
--- a/src/http/client_server.h
+++ b/src/http/client_server.h
@@ -41,30 +41,31 @@
   bool passing() const { return pass_ != nullptr; }
   // The connection of an open command, for another process to answer on. Nothing: it cannot be
   // passed.
-  struct Parting {
+  struct ReleasedConnection {
     transport::Descriptor connection;
     std::string unread;
     bool keep_alive = true;
     bool old = false;
   };
-  std::optional<Parting> part_with(routing::RequestRef command);
+  std::optional<ReleasedConnection> release_connection(routing::RequestRef command);
   void adopt(transport::SlotRef connection, std::string_view unread,
              bool used);  // one that came from there
-  // The same while a command of it is open, which is answered by answer_ward(); `left`: the client
-  // went first.
-  void adopt_ward(transport::SlotRef connection, const Parting& as, std::function<void()> left);
-  void answer_ward(transport::SlotRef connection, int status, std::string_view body);
+  // The same while a command of it is open, which is answered by answer_adopted(); `left`: the
+  // client went first.
+  void adopt_request_connection(transport::SlotRef connection, const ReleasedConnection& as,
+                                std::function<void()> left);
+  void answer_adopted(transport::SlotRef connection, int status, std::string_view body);
   // Call-backs are offered here first; true: it was for a ward.
-  void on_ward_news(std::function<bool(const protocol::JobEvent&)> hear) {
-    ward_news_ = std::move(hear);
+  void on_adopted_job_event(std::function<bool(const protocol::JobEvent&)> hear) {
+    adopted_job_event_ = std::move(hear);
   }
   // A call-back for a job that is not known here; false: there is nobody to ask. `told` comes
   // later, with false where the other one is gone.
   using Forward = std::function<bool(std::string_view body, std::function<void(bool taken)> told)>;
-  void forward_news(Forward forward) { forward_ = std::move(forward); }
+  void forward_job_events(Forward forward) { forward_ = std::move(forward); }
   void cut_streams();  // the time is over: replies that are on their way end here
 
-  void hear(protocol::JobEvent news);  // a call-back, wherever it came
+  void on_job_event(protocol::JobEvent news);  // a call-back, wherever it came
   void on_accepted(transport::SlotRef connection) override;
   void on_bytes(transport::SlotRef connection, std::string_view bytes) override;
   void on_closed(transport::SlotRef connection, bool all_written) override;
@@ -72,7 +73,7 @@
   bool shed_idle() override;
 
   void served(routing::RequestRef command, routing::Reply reply) override;
-  void nack(routing::RequestRef command, scheduling::Duration retry_after) override;
+  void reject(routing::RequestRef command, scheduling::Duration retry_after) override;
   void failed(routing::RequestRef command) override;
 
  private:
@@ -140,7 +141,7 @@
                std::string_view body);
   void answer(routing::RequestRef command, int status, const protocol::Headers& headers,
               std::string_view body);
-  void reject(transport::SlotRef connection, int status, const std::string& why);
+  void respond_error(transport::SlotRef connection, int status, const std::string& why);
   void wait_for_whole(transport::SlotRef connection, Session& s, transport::Duration longest);
   void hold(transport::SlotRef connection, Session& s, bool held);
   void note_idle(transport::SlotRef connection, Session& s);
@@ -162,7 +163,7 @@
   std::uint64_t order_ = 0;
   PassOn pass_;
   Forward forward_;
-  std::function<bool(const protocol::JobEvent&)> ward_news_;
+  std::function<bool(const protocol::JobEvent&)> adopted_job_event_;
 };
 
 }  // namespace dispatcher::http
--- a/src/http/client_server_streams.cpp
+++ b/src/http/client_server_streams.cpp
@@ -95,7 +95,7 @@
   upload->finish();
 }
 
-// The body makes no sense or does not come: nothing of it has begun. Its attempt is withdrawn
+// The body makes no sense or does not come: nothing of it has begun. Its attempt is cancelled
 // first, so that the memory is back and the worker knows.
 void ClientServer::abort_upload(SlotRef at, int status, const std::string& why) {
   auto it = sessions_.find(at);
@@ -107,7 +107,7 @@
   if (command)
     router_->client_gone(*command);
   on_.log.line("stream", "an upload was cut: " + why);
-  reject(at, status, why);
+  respond_error(at, status, why);
 }
 
 // What the client still sends of its upload when it is answered is nobody's.
--- a/src/http/worker_client.cpp
+++ b/src/http/worker_client.cpp
@@ -100,30 +100,30 @@
   router_->attempt_ended(attempt, Outcome::ConnectFailed, {});
 }
 
-void WorkerClient::probe(const std::string& worker) {
+void WorkerClient::check_health(const std::string& worker) {
   auto it = workers_.find(worker);
   Call c;
-  c.kind = Kind::Probe;
+  c.kind = Kind::HealthCheck;
   c.worker = worker;
   if (it == workers_.end() ||
       !call(std::move(c), protocol::write_health_check(times_.reports, it->second.address)))
-    router_->probe_ended(worker, Outcome::ConnectFailed, {});
+    router_->health_check_ended(worker, Outcome::ConnectFailed, {});
 }
 
 // Before the 202 closing the connection gives the attempt up; after it a call of its own does.
 // Guards against a job that runs on beside its next attempt: what says 202 may lie unread, so it is
 // read first (the sockets come first in the next turn), and where an answer has come in part, both
 // are done.
-void WorkerClient::withdraw(AttemptRef attempt) {
+void WorkerClient::cancel(AttemptRef attempt) {
   auto it = active_.find(attempt);
   if (it == active_.end())
     return;
   Active& a = it->second;
   if (a.connection) {
-    bool run = begun(attempt);
+    bool run = fully_sent(attempt);
     if (run && on_.network.unread(*a.connection)) {
       on_.deadlines.drop(a.again);
-      a.again = on_.deadlines.add(on_.clock.now(), [this, attempt] { withdraw(attempt); });
+      a.again = on_.deadlines.add(on_.clock.now(), [this, attempt] { cancel(attempt); });
       return;
     }
     if (!run || calls_.at(*a.connection).parser.idle()) {
@@ -132,8 +132,8 @@
     }
     hang_up(*std::exchange(a.connection, std::nullopt));
   }
-  if (!std::exchange(a.withdrawn, true))
-    tell_withdrawn(attempt);
+  if (!std::exchange(a.cancelled, true))
+    send_cancellation(attempt);
 }
 
 void WorkerClient::give_up(AttemptRef attempt) {
@@ -152,13 +152,13 @@
 
 // Until it is written the attempt is still there, and nothing else of the command may go to that
 // worker. So it is tried until it is, or until the attempt is over.
-void WorkerClient::tell_withdrawn(AttemptRef attempt) {
+void WorkerClient::send_cancellation(AttemptRef attempt) {
   auto it = active_.find(attempt);
   if (it == active_.end())
     return;
   it->second.again = {};
   Call c;
-  c.kind = Kind::Withdraw;
+  c.kind = Kind::Cancel;
   c.worker = it->second.worker;
   c.gives_up = attempt;
   const std::string& address = workers_.at(it->second.worker).address;
@@ -169,7 +169,7 @@
 void WorkerClient::tell_again(AttemptRef attempt) {
   if (auto it = active_.find(attempt); it != active_.end()) {
     it->second.again = on_.deadlines.add(on_.clock.now() + times_.probe,
-                                         [this, attempt] { tell_withdrawn(attempt); });
+                                         [this, attempt] { send_cancellation(attempt); });
   }
 }
 
@@ -181,32 +181,33 @@
     router_->attempt_ended(attempt, Outcome::Cancelled, {});
 }
 
-void WorkerClient::withdraw_job(const std::string& worker, const std::string& id) {
+void WorkerClient::cancel_job(const std::string& worker, const std::string& id) {
   auto it = workers_.find(worker);
   if (it == workers_.end())
     return;
   Call c;
-  c.kind = Kind::Withdraw;
+  c.kind = Kind::Cancel;
   c.worker = worker;
   call(std::move(c), protocol::write_cancellation(id, it->second.address));
 }
 
-bool WorkerClient::taken(AttemptRef attempt) const {
+bool WorkerClient::is_accepted(AttemptRef attempt) const {
   auto it = active_.find(attempt);
-  return it != active_.end() && !it->second.connection && !it->second.withdrawn;
+  return it != active_.end() && !it->second.connection && !it->second.cancelled;
 }
 
-bool WorkerClient::begun(AttemptRef attempt) const {
+bool WorkerClient::fully_sent(AttemptRef attempt) const {
   auto it = active_.find(attempt);
-  return it == active_.end() || !it->second.connection || begun(calls_.at(*it->second.connection));
+  return it == active_.end() || !it->second.connection ||
+         fully_sent(calls_.at(*it->second.connection));
 }
 
-bool WorkerClient::begun(const Call& c) const {
+bool WorkerClient::fully_sent(const Call& c) const {
   return !c.cargo && c.last.empty() && (!c.stream || !c.stream->upload || c.stream->sent);
 }
 
-void WorkerClient::settled(AttemptRef attempt) {
-  if (!begun(attempt))
+void WorkerClient::forget_attempt(AttemptRef attempt) {
+  if (!fully_sent(attempt))
     return give_up(attempt);  // what ended it was told of an earlier attempt there
   std::optional<Active> a = release(attempt);
   if (!a || !a->connection)
@@ -326,9 +327,9 @@
 void WorkerClient::note_written(SlotRef at, Call& c) {
   if (c.connect.order != 0 || on_.network.unsent(at) > 0)
     return;
-  if (c.kind == Kind::Withdraw)
+  if (c.kind == Kind::Cancel)
     return given_up(c);
-  if (c.kind == Kind::Submit && !c.relayed && begun(c)) {
+  if (c.kind == Kind::Submit && !c.relayed && fully_sent(c)) {
     c.relayed = true;
     ++on_.metrics.relayed;
   }
@@ -373,9 +374,9 @@
   drop_stream(c);
   drop_call(at);
   keep_or_close(at, c.worker, whole && m.keep_alive && c.parser.idle() && c.last.empty());
-  if (c.kind == Kind::Probe) {
+  if (c.kind == Kind::HealthCheck) {
     auto answer = protocol::parse_health_check_answer(m, on_.words);
-    return router_->probe_ended(c.worker, *answer.end, answer.report);
+    return router_->health_check_ended(c.worker, *answer.end, answer.report);
   }
   given_up(c);
   if (!c.attempt)
@@ -426,7 +427,7 @@
       return;
     return report_end(c, Outcome::ConnectFailed, {});
   }
-  bool may_run = all_written && begun(c);
+  bool may_run = all_written && fully_sent(c);
   drop_stream(c);
   report_end(c, may_run ? Outcome::ConnectionReset : Outcome::ConnectFailed, {});
 }
@@ -455,8 +456,8 @@
 
 void WorkerClient::report_end(const Call& c, Outcome outcome,
                               const scheduling::LoadReport& report) {
-  if (c.kind == Kind::Probe)
-    return router_->probe_ended(c.worker, outcome, report);
+  if (c.kind == Kind::HealthCheck)
+    return router_->health_check_ended(c.worker, outcome, report);
   if (c.gives_up)
     tell_again(*c.gives_up);
   if (!c.attempt)
--- a/src/http/worker_client.h
+++ b/src/http/worker_client.h
@@ -31,13 +31,13 @@
 
   void submit(routing::AttemptRef attempt, const std::string& worker,
               std::shared_ptr<const routing::RequestPayload> cargo, scheduling::Time ends) override;
-  void withdraw(routing::AttemptRef attempt) override;
-  void settled(routing::AttemptRef attempt) override;
-  bool begun(routing::AttemptRef attempt) const override;
-  void probe(const std::string& worker) override;
-  bool taken(routing::AttemptRef attempt) const override;
-  void withdraw_job(const std::string& worker,
-                    const std::string& id);  // of an attempt that is not ours
+  void cancel(routing::AttemptRef attempt) override;
+  void forget_attempt(routing::AttemptRef attempt) override;
+  bool fully_sent(routing::AttemptRef attempt) const override;
+  void check_health(const std::string& worker) override;
+  bool is_accepted(routing::AttemptRef attempt) const override;
+  void cancel_job(const std::string& worker,
+                  const std::string& id);  // of an attempt that is not ours
 
   void on_connected(transport::SlotRef connection) override;
   void on_bytes(transport::SlotRef connection, std::string_view bytes) override;
@@ -54,10 +54,10 @@
     std::optional<scheduling::Time> online_since;
     bool gone = false;
     bool closed = false;       // closed: to what is on its way there, by the latest list
-    std::size_t attempts = 0;  // active ones: they may still have to be withdrawn there
+    std::size_t attempts = 0;  // active ones: they may still have to be cancelled there
     std::vector<Idle> idle;    // the latest used last
   };
-  enum class Kind { Submit, Withdraw, Probe };
+  enum class Kind { Submit, Cancel, HealthCheck };
   struct Stream {                   // of bodies that pass through
     std::optional<Outflow> upload;  // until all of it has gone out
     std::optional<std::uint64_t> length;
@@ -95,7 +95,7 @@
     std::string worker;
     std::string id;
     std::optional<transport::SlotRef> connection;  // until the worker has taken it
-    bool withdrawn = false;  // it has, and is to be told that nobody waits any more
+    bool cancelled = false;  // it has, and is to be told that nobody waits any more
     transport::Deadlines::Handle again =
         {};  // of a withdrawal that has to wait, or to be written again
   };
@@ -114,10 +114,10 @@
   void drop_stream(Call& call);
   bool call(Call call, std::string bytes);  // false: no connection is to be had
   void write_head(transport::SlotRef connection, Call& call);
-  bool begun(const Call& call) const;
+  bool fully_sent(const Call& call) const;
   void give_up(routing::AttemptRef attempt);
   void hang_up(transport::SlotRef connection);  // on the call that is made there
-  void tell_withdrawn(routing::AttemptRef attempt);
+  void send_cancellation(routing::AttemptRef attempt);
   void tell_again(routing::AttemptRef attempt);
   void given_up(Call& call);
   void commit(transport::SlotRef connection);
--- a/src/program/adopted_requests.cpp
+++ b/src/program/adopted_requests.cpp
@@ -16,7 +16,7 @@
 
 AdoptedRequests::AdoptedRequests(ClientServer& front, WorkerClient& workers, Platform on)
     : front_(front), workers_(workers), on_(on) {
-  front_.on_ward_news([this](const protocol::JobEvent& news) { return hear(news); });
+  front_.on_adopted_job_event([this](const protocol::JobEvent& news) { return hear(news); });
 }
 
 void AdoptedRequests::take(const hot_restart::Job& job, transport::SlotRef at) {
@@ -28,8 +28,8 @@
   w.workers.assign(job.uids().begin(), job.uids().end());
   w.ends = on_.deadlines.add(transport::Time(transport::Duration(job.ends())) - kMargin,
                              [this, id] { answer(id, 502, kFailed); });
-  ClientServer::Parting as{{}, job.connection().unread(), job.keep_alive(), job.old()};
-  front_.adopt_ward(at, as, [this, id] { end(id); });
+  ClientServer::ReleasedConnection as{{}, job.connection().unread(), job.keep_alive(), job.old()};
+  front_.adopt_request_connection(at, as, [this, id] { end(id); });
 }
 
 bool AdoptedRequests::hear(const protocol::JobEvent& news) {
@@ -58,7 +58,7 @@
   }
   transport::SlotRef at = w.connection;
   end(id);
-  front_.answer_ward(at, status, body);
+  front_.answer_adopted(at, status, body);
 }
 
 void AdoptedRequests::end(RequestId id) {
@@ -68,7 +68,7 @@
   char text[17];
   std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(id));
   for (const std::string& worker : it->second.workers)
-    workers_.withdraw_job(worker, text);
+    workers_.cancel_job(worker, text);
   on_.deadlines.drop(it->second.ends);
   wards_.erase(it);
 }
--- a/src/program/hot_restart.cpp
+++ b/src/program/hot_restart.cpp
@@ -110,7 +110,7 @@
       clock_(clock),
       log_(log),
       elder_(options_.self) {
-  app_.front().forward_news([this](std::string_view body, std::function<void(bool)> told) {
+  app_.front().forward_job_events([this](std::string_view body, std::function<void(bool)> told) {
     return forward(body, std::move(told));
   });
   app_.on_by_hand([this](const std::string& uid, bool out) {
@@ -118,7 +118,7 @@
     m.mutable_call()->set_uid(uid), m.mutable_call()->set_out(out);
     tell_all(m);
   });
-  app_.router().on_taken([this](scheduling::RequestId id) {
+  app_.router().on_request_accepted([this](scheduling::RequestId id) {
     if (!(old_ && old_->up()) && !(new_ && new_->up()))
       return;
     Message m;
@@ -428,13 +428,13 @@
 // What an worker has taken needs nobody who knows how it came there: the new process waits
 // for its end.
 void HotRestart::give(routing::RequestRef ref) {
-  std::optional<routing::Router::Given> given = app_.router().look_at(ref);
+  std::optional<routing::Router::ReleasableRequest> given = app_.router().releasable(ref);
   if (!given || !new_ || !new_->up())
     return;
-  std::optional<ClientServer::Parting> parting = app_.front().part_with(ref);
+  std::optional<ClientServer::ReleasedConnection> parting = app_.front().release_connection(ref);
   if (!parting)
     return;
-  app_.router().give_away(ref);
+  app_.router().release(ref);
   given_.insert(given->id);
   Message m;
   hot_restart::Job& job = *m.mutable_job();
@@ -485,7 +485,7 @@
     // then.
     again = given_.contains(news.id);
     if (!again)
-      app_.front().hear(std::move(news));
+      app_.front().on_job_event(std::move(news));
   } catch (const protocol::Refused& e) {
     log_.line("upgrade", std::string("a call-back from the other process: ") + e.what());
   }
--- a/src/routing/ports.h
+++ b/src/routing/ports.h
@@ -44,7 +44,7 @@
   // A reply that passes through is answered with its first byte. Where it breaks off after that,
   // the client must be able to tell, and no other answer follows.
   virtual void served(RequestRef command, Reply reply) = 0;
-  virtual void nack(RequestRef command, scheduling::Duration retry_after) = 0;  // 0: no advice
+  virtual void reject(RequestRef command, scheduling::Duration retry_after) = 0;  // 0: no advice
   virtual void failed(RequestRef command) = 0;
 };
 
@@ -56,7 +56,7 @@
 
 // A cargo's upload goes out as it comes. An attempt begins at its worker with its last byte: an
 // end by then is told as Unreachable. How each ends comes back through Router::attempt_ended() or
-// probe_ended(), once.
+// health_check_ended(), once.
 class WorkerPort {
  public:
   virtual ~WorkerPort() = default;
@@ -65,11 +65,13 @@
                       scheduling::Time ends) = 0;  // when nobody waits for it any more
   // Gives it up. Its end is Withdrawn once that is done, not only wished for, or what overtakes it;
   // Void where it had not begun.
-  virtual void withdraw(AttemptRef attempt) = 0;
-  virtual void settled(AttemptRef attempt) = 0;      // it ended otherwise: forget it, tell nobody
-  virtual bool begun(AttemptRef attempt) const = 0;  // its last byte has been written: it may run
-  virtual void probe(const std::string& worker) = 0;
-  virtual bool taken(AttemptRef attempt) const = 0;  // the worker has said that it has it
+  virtual void cancel(AttemptRef attempt) = 0;
+  virtual void forget_attempt(
+      AttemptRef attempt) = 0;  // it ended otherwise: forget it, tell nobody
+  virtual bool fully_sent(
+      AttemptRef attempt) const = 0;  // its last byte has been written: it may run
+  virtual void check_health(const std::string& worker) = 0;
+  virtual bool is_accepted(AttemptRef attempt) const = 0;  // the worker has said that it has it
 };
 
 class DiscoveryPort {
@@ -84,8 +86,8 @@
 class GossipPort {
  public:
   virtual ~GossipPort() = default;
-  virtual void have(const std::string& worker,
-                    int jobs) = 0;  // so many attempts of ours are there now
+  virtual void announce(const std::string& worker,
+                        int jobs) = 0;  // so many attempts of ours are there now
 };
 
 }  // namespace dispatcher::routing
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -83,7 +83,7 @@
   c.ends = clock_.now() + n.request.timeout + n.request.transfer;
   std::optional<RequestRef> ref = table_.insert(std::move(c));
   if (!ref)
-    return count_nack(n.request.job_class), Taking::Full;
+    return count_rejected(n.request.job_class), Taking::Full;
   by_id_[n.request.id] = *ref;
   if (tell_taken_)
     tell_taken_(n.request.id);
@@ -139,7 +139,7 @@
     if (attempt < 0)
       return;
     if (!news.started && !news.progress) {
-      ports_.workers.settled({ref, attempt});
+      ports_.workers.forget_attempt({ref, attempt});
       return end_attempt({ref, attempt}, news.outcome, news.report,
                          {std::move(news.result), {}, {}, {}});
     }
@@ -154,7 +154,8 @@
   });
 }
 
-void Router::probe_ended(const std::string& worker, Outcome outcome, const LoadReport& report) {
+void Router::health_check_ended(const std::string& worker, Outcome outcome,
+                                const LoadReport& report) {
   post([=, this] {
     note("probed", 0, -1, worker, kOutcomes[static_cast<int>(outcome)]);
     std::vector<Action> actions;
@@ -185,7 +186,7 @@
   if (!ports_.peers)
     return;
   int& jobs = at_[worker];
-  ports_.peers->have(worker, jobs += more);
+  ports_.peers->announce(worker, jobs += more);
   if (jobs == 0)
     at_.erase(worker);
 }
@@ -206,15 +207,15 @@
   return open;
 }
 
-std::optional<Router::Given> Router::look_at(RequestRef ref) const {
+std::optional<Router::ReleasableRequest> Router::releasable(RequestRef ref) const {
   const Command* c = table_.find(ref);
   if (!c || c->answered || c->cargo->upload || c->cargo->reply)
     return std::nullopt;
-  Given g{c->id, c->job_class, c->ends, {}};
+  ReleasableRequest g{c->id, c->job_class, c->ends, {}};
   for (int i = 0; i < std::ssize(c->attempts); ++i) {
     if (!c->attempts[i].open)
       continue;
-    if (!ports_.workers.taken({ref, i}))
+    if (!ports_.workers.is_accepted({ref, i}))
       return std::nullopt;
     g.workers.push_back(c->attempts[i].worker);
   }
@@ -223,7 +224,7 @@
   return g;
 }
 
-void Router::give_away(RequestRef ref) {
+void Router::release(RequestRef ref) {
   post([this, ref] {
     Command* c = table_.find(ref);
     if (!c || c->answered)
@@ -234,7 +235,7 @@
     for (int i = 0; i < std::ssize(c->attempts); ++i) {
       if (!std::exchange(c->attempts[i].open, false))
         continue;  // the scheduler's cancels then reach nobody
-      ports_.workers.settled({ref, i});
+      ports_.workers.forget_attempt({ref, i});
       count(c->attempts[i].worker, -1);
     }
     std::vector<Action> actions;
@@ -266,9 +267,9 @@
 
 // ---- The three final answers ----
 
-void Router::nack(RequestRef ref, Command& c, Duration retry_after) {
+void Router::reject(RequestRef ref, Command& c, Duration retry_after) {
   ++metrics_.of(c.job_class).throttled;
-  ports_.clients.nack(ref, retry_after);
+  ports_.clients.reject(ref, retry_after);
 }
 
 void Router::fail(RequestRef ref, Command& c) {
@@ -288,7 +289,7 @@
     case ActionKind::Cancel:
       return cancel(a);
     case ActionKind::HealthCheck:
-      return ports_.workers.probe(std::string(a.worker));
+      return ports_.workers.check_health(std::string(a.worker));
     case ActionKind::Watch:
       return ports_.names.watch();
     case ActionKind::SetTimer:
@@ -347,7 +348,7 @@
   bool refused = a.kind == ActionKind::Reject || !may_have_run(ref, *c);
   note("answered", a.id, -1, refused ? "nack" : "failed");
   if (refused) {
-    nack(ref, *c, a.retry_after);
+    reject(ref, *c, a.retry_after);
   } else {
     fail(ref, *c);
   }
@@ -360,7 +361,7 @@
 
 bool Router::may_have_run(RequestRef ref, const Command& c) const {
   for (int i = 0; i < std::ssize(c.attempts); ++i) {
-    if (c.attempts[i].ran || (c.attempts[i].open && ports_.workers.begun({ref, i})))
+    if (c.attempts[i].ran || (c.attempts[i].open && ports_.workers.fully_sent({ref, i})))
       return true;
   }
   return false;
@@ -370,7 +371,7 @@
   if (may_have_run(ref, c)) {
     fail(ref, c);
   } else {
-    nack(ref, c, Duration(0));
+    reject(ref, c, Duration(0));
   }
 }
 
@@ -379,7 +380,7 @@
   Command* c = by_id(a.id, ref);
   if (!c || a.attempt < 0 || a.attempt >= std::ssize(c->attempts) || !c->attempts[a.attempt].open)
     return;
-  ports_.workers.withdraw({ref, a.attempt});  // it ends when the worker has been told
+  ports_.workers.cancel({ref, a.attempt});  // it ends when the worker has been told
 }
 
 // ---- Ends ----
@@ -429,7 +430,7 @@
   c.answered = true;
   --open_;
   if (never_began) {
-    nack(ref, c, Duration(0));
+    reject(ref, c, Duration(0));
   } else {
     fail(ref, c);
   }
@@ -460,11 +461,11 @@
         // An upload that is still on its way says nothing of its worker, which must not wait for
         // the rest.
         bool unfinished = c->cargo->upload && !c->cargo->upload->taken_all();
-        bool begun = !unfinished && ports_.workers.begun({ref, i});
+        bool begun = !unfinished && ports_.workers.fully_sent({ref, i});
         if (begun) {
-          ports_.workers.settled({ref, i});
+          ports_.workers.forget_attempt({ref, i});
         } else {
-          ports_.workers.withdraw({ref, i});  // its connection could still come up
+          ports_.workers.cancel({ref, i});  // its connection could still come up
         }
         Outcome end = unfinished ? Outcome::Cancelled
                       : begun    ? Outcome::TimedOut
@@ -490,8 +491,8 @@
   if (!c.answered)
     return;
   for (int i = 0; i < std::ssize(c.attempts); ++i) {
-    if (c.attempts[i].open && !ports_.workers.begun({ref, i})) {
-      ports_.workers.withdraw({ref, i});
+    if (c.attempts[i].open && !ports_.workers.fully_sent({ref, i})) {
+      ports_.workers.cancel({ref, i});
       return end_attempt({ref, i}, Outcome::NotSent, {}, {});  // which comes back here
     }
   }
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -55,8 +55,8 @@
   void attempt_ended(AttemptRef attempt, scheduling::Outcome outcome,
                      const scheduling::LoadReport& report, Reply reply = {});
   void progress(Progress news);
-  void probe_ended(const std::string& worker, scheduling::Outcome outcome,
-                   const scheduling::LoadReport& report);
+  void health_check_ended(const std::string& worker, scheduling::Outcome outcome,
+                          const scheduling::LoadReport& report);
   void on_endpoint_update(scheduling::EndpointUpdateKind kind,
                           const std::vector<scheduling::WorkerEntry>& entries);
   void on_load_gossip(const std::string& worker, int jobs);
@@ -71,16 +71,18 @@
   // A command that another process goes on with, to its answer: nobody is told anything of it here.
   // What is to know of it, or nothing where that cannot be: it is over, or an attempt is not out,
   // or not yet taken.
-  struct Given {
+  struct ReleasableRequest {
     scheduling::RequestId id = 0;
     std::size_t job_class = 0;
     transport::Time ends{};
     std::vector<std::string> workers;
   };
   std::vector<RequestRef> open_refs() const;
-  std::optional<Given> look_at(RequestRef command) const;
-  void give_away(RequestRef command);
-  void on_taken(std::function<void(scheduling::RequestId)> tell) { tell_taken_ = std::move(tell); }
+  std::optional<ReleasableRequest> releasable(RequestRef command) const;
+  void release(RequestRef command);
+  void on_request_accepted(std::function<void(scheduling::RequestId)> tell) {
+    tell_taken_ = std::move(tell);
+  }
   void fail_all();  // the program must end: what is still open gets its answer now
 
   void talk_to(GossipPort& peers) { ports_.peers = &peers; }  // before start()
@@ -93,7 +95,7 @@
     return dispatcher_ && dispatcher_->avoids(worker);
   }
   // Of a command that was taken off the sockets and never came this far.
-  void count_nack(std::size_t job_class) { ++metrics_.of(job_class).throttled; }
+  void count_rejected(std::size_t job_class) { ++metrics_.of(job_class).throttled; }
 
  private:
   struct Attempt {
@@ -132,7 +134,7 @@
   void time_up(RequestRef ref);
   void count(const std::string& worker, int more);
   void close_answered(RequestRef ref, Command& c);
-  void nack(RequestRef ref, Command& c, scheduling::Duration retry_after);
+  void reject(RequestRef ref, Command& c, scheduling::Duration retry_after);
   void fail(RequestRef ref, Command& c);
   void drop_client(RequestRef ref);
   Command* by_id(scheduling::RequestId id, RequestRef& ref);
--- a/src/simulator_adapter/host.h
+++ b/src/simulator_adapter/host.h
@@ -117,7 +117,7 @@
       f.word();  // time since the send
       e.report = read_report(f.optional_word(), host_->columns);
       d.on_attempt_end(now_, e, actions_);
-      have(e.worker, -1);
+      announce(e.worker, -1);
     } else if (what == "NOTICE") {
       scheduling::RequestId id = f.hex_id();
       int attempt = f.integer<int>();
@@ -194,7 +194,7 @@
       d.on_load_gossip(now_, worker, jobs, actions_);
     };
   }
-  void have(std::string_view worker, int more) {
+  void announce(std::string_view worker, int more) {
     if (!host_->loads)
       return;
     moved_.emplace_back(worker);
@@ -204,7 +204,7 @@
     if (!host_ || !host_->loads)
       return;
     for (const std::string& w : moved_)
-      host_->loads->have(now_, w, host_->have[w]);
+      host_->loads->announce(now_, w, host_->have[w]);
     moved_.clear();
     for (const auto& m : host_->loads->due(now_)) {
       speak_for();
@@ -215,7 +215,7 @@
   void flush_actions() {
     for (const scheduling::Action& a : actions_) {
       if (a.kind == scheduling::ActionKind::Send)
-        have(a.worker, 1);
+        announce(a.worker, 1);
       speak_for();
       write_action(a, reply_);
     }
--- a/testbed/simulation/fleet_simulation.cpp
+++ b/testbed/simulation/fleet_simulation.cpp
@@ -627,7 +627,7 @@
   int jobs = n.there[worker] += more;
   if (!n.loads)
     return;
-  n.loads->have(now_, workers_[worker].id, jobs);
+  n.loads->announce(now_, workers_[worker].id, jobs);
   tell(node);
 }
 
--- a/tests/exchanges/player.h
+++ b/tests/exchanges/player.h
@@ -176,7 +176,7 @@
   int givable() {
     int n = 0;
     for (routing::RequestRef ref : app_->router().open_refs())
-      n += app_->router().look_at(ref).has_value();
+      n += app_->router().releasable(ref).has_value();
     return n;
   }
 
--- a/tests/fleet/load_gossip_test.cpp
+++ b/tests/fleet/load_gossip_test.cpp
@@ -26,7 +26,7 @@
 
 // All that `from` tells of a worker now, as the first that hears of it gets it.
 std::string tells(LoadGossip& from, double ms, const std::string& worker, int jobs) {
-  from.have(Time(Duration(ms)), worker, jobs);
+  from.announce(Time(Duration(ms)), worker, jobs);
   auto messages = from.due(Time(Duration(ms) + kLeft));  // whether it rose or fell
   return messages.empty() ? std::string() : messages[0].bytes;
 }
@@ -125,15 +125,15 @@
     }
     return messages.size();
   };
-  auto have = [&](double ms, const std::string& w, int jobs) {
-    a.have(at(ms), w, jobs);
+  auto announce = [&](double ms, const std::string& w, int jobs) {
+    a.announce(at(ms), w, jobs);
     return hear(a.due(at(ms)));
   };
-  CHECK(have(0, "s-1", 2) == 2);   // one to each of the others
-  CHECK(have(10, "s-1", 1) == 2);  // nobody is known to be idle: somebody may wait for the slot
-  CHECK(have(20, "s-2", 1) == 2);
-  CHECK(have(30, "s-2", 0) == 0);  // s-2 has nothing to do now
-  CHECK(have(40, "s-1", 0) == 0);
+  CHECK(announce(0, "s-1", 2) == 2);   // one to each of the others
+  CHECK(announce(10, "s-1", 1) == 2);  // nobody is known to be idle: somebody may wait for the slot
+  CHECK(announce(20, "s-2", 1) == 2);
+  CHECK(announce(30, "s-2", 0) == 0);  // s-2 has nothing to do now
+  CHECK(announce(40, "s-1", 0) == 0);
   CHECK(at_b.jobs == std::map<std::string, int>{{"s-1", 1}, {"s-2", 1}, {"s-3", 0}});
   SECTION("until the longest that it may wait") {
     CHECK(hear(a.due(at(329))) == 0);
@@ -142,12 +142,12 @@
     CHECK_FALSE(a.waits());
   }
   SECTION("until something rises, in one message with it") {
-    CHECK(have(50, "s-3", 1) == 2);
+    CHECK(announce(50, "s-3", 1) == 2);
     CHECK(at_b.jobs == std::map<std::string, int>{{"s-1", 0}, {"s-2", 0}, {"s-3", 1}});
   }
   SECTION("and is not told where it has risen again") {
-    CHECK(have(50, "s-1", 1) == 0);
-    CHECK(have(60, "s-2", 1) == 0);
+    CHECK(announce(50, "s-1", 1) == 0);
+    CHECK(announce(60, "s-2", 1) == 0);
     CHECK_FALSE(a.waits());
   }
   SECTION("or goes with a datagram of another kind") {
@@ -159,11 +159,11 @@
     CHECK_FALSE(a.waits());
   }
   SECTION("and what stands is told again in half the time that it counts") {
-    CHECK(have(50, "s-3", 1) == 2);
+    CHECK(announce(50, "s-3", 1) == 2);
     CHECK(hear(a.due(at(5000))) == 0);
     CHECK(hear(a.due(at(5400))) == 2);
     a.hears(2, false);  // it is held dead
-    CHECK(have(5401, "s-3", 2) == 1);
+    CHECK(announce(5401, "s-3", 2) == 1);
     CHECK_FALSE(a.waits());
     a.hears(2, true);  // and has started again
     CHECK(hear(a.due(at(5402))) == 1);
@@ -178,7 +178,7 @@
     all.push_back(worker(i));
   a.list(all, heard.changed);
   for (const std::string& w : all)
-    a.have(at(0), w, 1);
+    a.announce(at(0), w, 1);
   std::size_t told = 0;
   for (const auto& m : a.due(at(0), 223)) {
     CHECK(m.bytes.size() <= 223);
--- a/tests/transport/sockets_test.cpp
+++ b/tests/transport/sockets_test.cpp
@@ -266,7 +266,7 @@
       worker = "s-" + std::to_string(i);
   }
   peers.list({worker});
-  peers.have(worker, 2);
+  peers.announce(worker, 2);
   while (got.empty())
     loop.turn();
   CHECK(got.size() == 3);
