--- a/tests/fuzz/datagrams.cpp
+++ b/tests/fuzz/datagrams.cpp
@@ -54,7 +54,7 @@
 void seal(std::string_view in) {
   Key key;
   MessageAuthenticator a({key}, {1, 1}, 1000);
-  b({key}, {2, 1}, 1000);
+  MessageAuthenticator b({key}, {2, 1}, 1000);
   std::string_view plain;
   must(b.open(1000, {1, 1}, in, plain) !=
        MessageAuthenticator::Fault::None);  // nobody guesses a hash
