--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -101,9 +101,9 @@
 
 }  // namespace
 
-class Scheduler::Logic {
+class Scheduler::Parts {
  public:
-  Logic(const Settings& settings, Time now, std::vector<Action>& out)
+  Parts(const Settings& settings, Time now, std::vector<Action>& out)
       : now_(now), begun_(now), out_(&out), random_(settings.seed) {
     apply_settings(settings);
   }
@@ -119,7 +119,7 @@
       all_quotas_ += tenants_[i].quota = set_.tenant_quotas[i];
   }
 
-  Logic& at(Time now, Actions& out) { return now_ = now, out_ = &out, *this; }
+  Parts& at(Time now, Actions& out) { return now_ = now, out_ = &out, *this; }
 
   // ---- The list and the pools ----
 
@@ -1401,105 +1401,57 @@
   int logged_ = 0;
 };
 
-// ---- The cutoff searches ----
-
-// For a pool with a share of the capacity: rho = load * (its part of the work) / share. By
-// Pollaczek-Khinchin E[W] = lambda E[X^2] / (2 (1 - rho)) and E[S] = E[W] E[1/X]; with n jobs of
-// work w in all, lambda is in proportion to n / w, and what both pools have in common cancels.
-std::optional<double> CostHistogram::fair_cutoff(double load, double short_share) const {
-  auto slowdown = [&](const Bin& b, double share) {
-    double rho = load * b.work / work_ / share;
-    return rho < 1 ? b.square / (share * share) / (1 - rho) * b.inverse / b.count : -1;
-  };
-  Bin below;
-  Bin all;
-  for (const Bin& b : bins_)
-    all += b;
-  std::optional<double> best;
-  double best_gap = 0;
-  for (std::size_t i = 0; i + 1 < bins_.size(); ++i) {
-    const Bin& b = bins_[i];
-    below += b;
-    if (b.count <= 0)
-      continue;
-    Bin above = all;
-    above -= below;
-    if (above.count <= 1e-6 * all.count)
-      break;
-    double s = slowdown(below, short_share);
-    double l = slowdown(above, 1 - short_share);
-    if (s < 0 || l < 0)
-      continue;
-    double gap = std::abs(std::log(s / l));
-    if (!best || gap < best_gap) {
-      best = lower_edge(i + 1);
-      best_gap = gap;
-    }
-  }
-  return best;
-}
-
-double CostHistogram::rule_of_thumb_cutoff(double load) const {
-  double below = 0;
-  for (std::size_t i = 0; i < bins_.size(); ++i) {
-    below += bins_[i].work;
-    if (bins_[i].work > 0 && below > load / 2 * work_)
-      return lower_edge(i);
-  }
-  return 0;
-}
-
 // ---- The interface ----
 
 Scheduler::Scheduler(const Settings& settings, Time now, std::vector<Action>& out)
-    : logic_(std::make_unique<Logic>(settings, now, out)) {}
+    : parts_(std::make_unique<Parts>(settings, now, out)) {}
 Scheduler::~Scheduler() = default;
 Scheduler::Scheduler(Scheduler&&) noexcept = default;
 Scheduler& Scheduler::operator=(Scheduler&&) noexcept = default;
 
 void Scheduler::on_endpoint_update(Time now, EndpointUpdateKind kind,
                                    const std::vector<WorkerEntry>& entries, Actions& out) {
-  logic_->at(now, out).list(kind, entries);
+  parts_->at(now, out).list(kind, entries);
 }
 void Scheduler::on_settings(const Settings& settings) {
-  logic_->apply_settings(settings);
+  parts_->apply_settings(settings);
 }
 void Scheduler::on_request(Time now, const Request& r, Actions& out) {
-  logic_->at(now, out).request(r);
+  parts_->at(now, out).request(r);
 }
 void Scheduler::on_job_event(Time now, RequestId id, int attempt, std::string_view w,
                              JobEventKind k, Actions& out) {
-  logic_->at(now, out).note(id, attempt, w, k);
+  parts_->at(now, out).note(id, attempt, w, k);
 }
 void Scheduler::on_attempt_end(Time t, const AttemptEnd& e, Actions& o) {
-  logic_->at(t, o).attempt_end(e);
+  parts_->at(t, o).attempt_end(e);
 }
 void Scheduler::on_health_check_result(Time now, std::string_view w, Outcome o, const LoadReport& r,
                                        Actions& out) {
-  logic_->at(now, out).probe_result(w, o, r);
+  parts_->at(now, out).probe_result(w, o, r);
 }
 void Scheduler::on_load_gossip(Time t, std::string_view w, double n, Actions& o) {
-  logic_->at(t, o).peers(w, n);
+  parts_->at(t, o).peers(w, n);
 }
 void Scheduler::on_client_disconnected(Time now, RequestId id, Actions& out) {
-  logic_->at(now, out).gone(id);
+  parts_->at(now, out).gone(id);
 }
 void Scheduler::on_timer(Time now, Actions& out) {
-  logic_->at(now, out).timer();
+  parts_->at(now, out).timer();
 }
 double Scheduler::cutoff_ms() const {
-  return logic_->cutoff_;
+  return parts_->cutoff_;
 }
 bool Scheduler::in_short_pool(std::string_view worker) const {
-  auto it = logic_->workers_.find(worker);
-  return it != logic_->workers_.end() && it->second.short_pool;
+  auto it = parts_->workers_.find(worker);
+  return it != parts_->workers_.end() && it->second.short_pool;
 }
 std::size_t Scheduler::open_requests() const {
-  return logic_->jobs_.size();
+  return parts_->jobs_.size();
 }
 bool Scheduler::avoids(std::string_view worker) const {
-  auto it = logic_->workers_.find(worker);
-  return it != logic_->workers_.end() && (!it->second.ready || logic_->doubt(it->second) >= kDown);
+  auto it = parts_->workers_.find(worker);
+  return it != parts_->workers_.end() && (!it->second.ready || parts_->doubt(it->second) >= kDown);
 }
 
 }  // namespace dispatcher::scheduling
