--- /dev/null
+++ b/src/scheduling/action_sink.h
@@ -0,0 +1,45 @@
+// Where the parts of the scheduler put the actions of the current event.
+#pragma once
+
+#include <string>
+#include <string_view>
+#include <utility>
+
+#include "dispatcher/scheduling/types.h"
+
+namespace dispatcher::scheduling {
+
+// Appends actions to the caller's list, in order. Does not own the list: begin_event() must be
+// called with a list that lives until the event has been handled.
+class ActionSink {
+ public:
+  void begin_event(Actions& out) { out_ = &out; }
+
+  void send(RequestId id, std::string_view worker) {
+    out_->push_back({.kind = ActionKind::Send, .id = id, .worker = worker});
+  }
+  void answer(ActionKind kind, RequestId id, Duration retry_after) {
+    out_->push_back({.kind = kind, .id = id, .retry_after = retry_after});
+  }
+  void cancel(RequestId id, int attempt) {
+    out_->push_back({.kind = ActionKind::Cancel, .id = id, .attempt = attempt});
+  }
+  void check_health(std::string_view worker) {
+    out_->push_back({.kind = ActionKind::HealthCheck, .worker = worker});
+  }
+  void watch() { out_->push_back({.kind = ActionKind::Watch}); }
+  void set_timer(Time at) { out_->push_back({.kind = ActionKind::SetTimer, .at = at}); }
+  // Drops lines beyond a fixed number, so that a fault cannot fill the log.
+  void log(std::string text) {
+    if (++logged_lines_ <= kMaximumLogLines)
+      out_->push_back({.kind = ActionKind::Log, .text = std::move(text)});
+  }
+
+ private:
+  static constexpr int kMaximumLogLines = 200;
+
+  Actions* out_ = nullptr;
+  int logged_lines_ = 0;
+};
+
+}  // namespace dispatcher::scheduling
--- /dev/null
+++ b/src/scheduling/attempt_monitor.cpp
@@ -0,0 +1,172 @@
+#include "scheduling/attempt_monitor.h"
+
+#include <algorithm>
+#include <chrono>
+#include <cstddef>
+
+#include "scheduling/idempotency.h"
+#include "scheduling/monitor_timing.h"
+#include "scheduling/units.h"
+
+namespace dispatcher::scheduling {
+namespace {
+
+constexpr Duration kMaximumLookInterval = std::chrono::seconds(1);
+constexpr Duration kMinimumLookInterval{200};
+constexpr Duration kOverdueMargin{40};
+constexpr Duration kWorkerSilence = std::chrono::seconds(1);
+constexpr double kSilentIntervals = 2.1;  // progress intervals without an event
+constexpr double kProgressLookIntervals = 2.2;
+constexpr double kHedgeQueueShare = 0.2;  // of its slack an attempt waits before a hedge may pay
+constexpr std::ptrdiff_t kMaximumHedgedAttempts = 2;
+
+Attempt* find_attempt(RequestState& state, int attempt) {
+  if (attempt < 0 || attempt >= std::ssize(state.attempts))
+    return nullptr;
+  return &state.attempts[static_cast<std::size_t>(attempt)];
+}
+
+}  // namespace
+
+void AttemptMonitor::on_job_event(Time now, RequestId id, int attempt, std::string_view worker_id,
+                                  JobEventKind kind) {
+  RequestState* state = nullptr;
+  const auto it = requests_.find(id);
+  Attempt* found = it != requests_.end() ? find_attempt(it->second, attempt) : nullptr;
+  if (found) {
+    state = &it->second;
+    // Even if its end has said that it never ran.
+    found->may_have_run = true;
+    found->started = true;
+  }
+  Worker* worker = registry_.find(worker_id);
+  OutstandingAttempt* outstanding = worker ? find_outstanding(*worker, id, attempt) : nullptr;
+  if (!outstanding)
+    return;
+  outstanding->last_heard = now;
+  ejection_.on_alive(*worker, now);
+  if (kind == JobEventKind::Started && !outstanding->started)
+    on_started(*worker, *outstanding, state, now);
+}
+
+void AttemptMonitor::on_started(Worker& worker, OutstandingAttempt& outstanding,
+                                const RequestState* state, Time now) {
+  ejection_.on_attempt_started(worker);
+  load_.on_started(worker, outstanding, now);
+  if (!state)
+    return;
+  lifecycle_.cancel_attempts(*state, RequestLifecycle::CancelScope::NotStarted);
+  const Duration run = slow_start_.run_time(worker, *state, now);
+  timers_.schedule(now + kOverdueFactor * run + kMonitorDelay, TimerKind::AttemptMonitor,
+                   outstanding.id);
+  if (milliseconds(settings_.progress_interval) > 0) {
+    timers_.schedule(now + kProgressLookIntervals * settings_.progress_interval,
+                     TimerKind::AttemptMonitor, outstanding.id);
+  }
+}
+
+void AttemptMonitor::on_attempt_end(Time now, const AttemptEnd& end) {
+  Worker* worker = registry_.find(end.worker);
+  if (worker)
+    recorder_.close(*worker, end, now);
+  const auto it = requests_.find(end.id);
+  if (it != requests_.end()) {
+    RequestState& state = it->second;
+    end_attempt(state, end);
+    if (end.final) {
+      lifecycle_.forget(state);
+    } else if (!state.any_open()) {
+      lifecycle_.retry_or_answer(state, now);
+    }
+  }
+  if (worker)
+    lifecycle_.dispatch_pending_to(*worker, now);
+}
+
+// An outcome proves only once that the attempt never ran: while it is open, by its own worker, and
+// without a start or progress event before.
+void AttemptMonitor::end_attempt(RequestState& state, const AttemptEnd& end) {
+  Attempt* attempt = find_attempt(state, end.attempt);
+  if (!attempt)
+    return;
+  const bool never_ran = proves_not_run(end.outcome);
+  if (!never_ran)
+    attempt->may_have_run = true;
+  if (!attempt->open || attempt->worker->id != end.worker)
+    return;
+  attempt->open = false;
+  if (never_ran && !attempt->started)
+    attempt->may_have_run = false;
+  if (end.outcome == Outcome::NotSent && end.attempt > 0)
+    budget_.on_extra_attempt_not_sent(attempt->sent);
+}
+
+void AttemptMonitor::on_timer(RequestState& state, Time now) {
+  // The client may be the slow one, and a streamed body cannot be sent twice.
+  if (state.request.streamed)
+    return;
+  const Findings findings = inspect(state, now);
+  if (!state.any_open())
+    return;
+  if (cannot_be_in_time(state, now)) {
+    lifecycle_.answer(state);
+    return;
+  }
+  timers_.schedule(now + findings.next_look, TimerKind::AttemptMonitor, state.request.id);
+  if (findings.slow)
+    hedge(state, findings.urgent, now);
+}
+
+AttemptMonitor::Findings AttemptMonitor::inspect(const RequestState& state, Time now) {
+  Findings findings{.next_look = kMaximumLookInterval};
+  for (std::size_t i = 0; i < state.attempts.size(); ++i) {
+    if (!state.attempts[i].open)
+      continue;
+    Worker& worker = *state.attempts[i].worker;
+    const OutstandingAttempt* outstanding =
+        find_outstanding(worker, state.request.id, static_cast<int>(i));
+    if (outstanding)
+      inspect_attempt(state, worker, *outstanding, now, findings);
+  }
+  return findings;
+}
+
+void AttemptMonitor::inspect_attempt(const RequestState& state, Worker& worker,
+                                     const OutstandingAttempt& outstanding, Time now,
+                                     Findings& findings) {
+  const Duration run = slow_start_.run_time(worker, state, now);
+  const Duration elapsed = now - outstanding.started.value_or(outstanding.sent);
+  const bool waiting = settings_.reports_job_start && !outstanding.started;
+  const bool silent = outstanding.started && milliseconds(settings_.progress_interval) > 0 &&
+                      now - outstanding.last_heard > kSilentIntervals * settings_.progress_interval;
+  const bool overdue = !waiting && elapsed > kOverdueFactor * run + kOverdueMargin;
+  if (waiting)
+    load_.on_still_waiting(worker, now);
+  if (silent || overdue || (waiting && now - worker.last_heard > kWorkerSilence))
+    ejection_.on_attempt_slow(worker, silent, now);
+  const Duration slack = state.objective_deadline - run - outstanding.sent;
+  findings.slow |= waiting || silent || overdue;
+  findings.urgent |= silent || overdue || (waiting && elapsed > kHedgeQueueShare * slack);
+  findings.next_look = std::min(findings.next_look, std::max(kMinimumLookInterval, run));
+}
+
+bool AttemptMonitor::cannot_be_in_time(const RequestState& state, Time now) const {
+  const bool may_abandon = settings_.reports_job_start && settings_.cancellation_allowed &&
+                           state.class_settings.late_weight <= 0 && state.cost_hint_ms > 0;
+  return may_abandon && now >= selector_.latest_useful_start(state) &&
+         std::ranges::none_of(state.attempts, &Attempt::started);
+}
+
+void AttemptMonitor::hedge(RequestState& state, bool urgent, Time now) {
+  if (state.class_settings.idempotency == Idempotency::NonIdempotent || !settings_.hedging_allowed)
+    return;
+  const auto counted = registry_.uses_sampling() ? &Attempt::may_have_run : &Attempt::open;
+  if (std::ranges::count(state.attempts, true, counted) >= kMaximumHedgedAttempts ||
+      !budget_.allows_hedge(now, load_.immediate_start_fraction()))
+    return;
+  Worker* worker = selector_.choose(state, now);
+  if (worker && (urgent || load_.has_room(*worker, state, now)))
+    lifecycle_.send(state, *worker, now);
+}
+
+}  // namespace dispatcher::scheduling
--- /dev/null
+++ b/src/scheduling/attempt_monitor.h
@@ -0,0 +1,80 @@
+// Looks after open attempts: job events, ends, slow or silent attempts, hedges.
+#pragma once
+
+#include "dispatcher/scheduling/types.h"
+#include "scheduling/attempt_recorder.h"
+#include "scheduling/candidate_selector.h"
+#include "scheduling/load_estimator.h"
+#include "scheduling/outlier_ejection.h"
+#include "scheduling/request_lifecycle.h"
+#include "scheduling/request_state.h"
+#include "scheduling/retry_budget.h"
+#include "scheduling/slow_start.h"
+#include "scheduling/timer_queue.h"
+#include "scheduling/worker_registry.h"
+
+namespace dispatcher::scheduling {
+
+// A hedge is sent, where the idempotency rules allow it, when an attempt is slow and another worker
+// can still be in time. A request has at most two attempts open at a time; in a fleet that is
+// sampled it has two in all, since where neither of two starts queues are long, and cancelled
+// attempts may run on.
+//
+// An attempt that still waits in a worker's queue when even a start now would end too late is
+// cancelled where late answers have no value, so that those behind it move up. Without a cost hint
+// that cannot be told.
+class AttemptMonitor {
+ public:
+  // All references must outlive the monitor.
+  AttemptMonitor(const Settings& settings, TimerQueue& timers, RequestTable& requests,
+                 WorkerRegistry& registry, RetryBudget& budget, const SlowStart& slow_start,
+                 LoadEstimator& load, OutlierEjection& ejection, CandidateSelector& selector,
+                 AttemptRecorder& recorder, RequestLifecycle& lifecycle)
+      : settings_(settings),
+        timers_(timers),
+        requests_(requests),
+        registry_(registry),
+        budget_(budget),
+        slow_start_(slow_start),
+        load_(load),
+        ejection_(ejection),
+        selector_(selector),
+        recorder_(recorder),
+        lifecycle_(lifecycle) {}
+
+  void on_job_event(Time now, RequestId id, int attempt, std::string_view worker,
+                    JobEventKind kind);
+  void on_attempt_end(Time now, const AttemptEnd& end);
+  // May end the request and invalidate `state`.
+  void on_timer(RequestState& state, Time now);
+
+ private:
+  struct Findings {
+    bool slow = false;    // an attempt waits, is silent or is overdue
+    bool urgent = false;  // a hedge pays even if it has to wait
+    Duration next_look;
+  };
+
+  void on_started(Worker& worker, OutstandingAttempt& outstanding, const RequestState* state,
+                  Time now);
+  void end_attempt(RequestState& state, const AttemptEnd& end);
+  Findings inspect(const RequestState& state, Time now);
+  void inspect_attempt(const RequestState& state, Worker& worker,
+                       const OutstandingAttempt& outstanding, Time now, Findings& findings);
+  bool cannot_be_in_time(const RequestState& state, Time now) const;
+  void hedge(RequestState& state, bool urgent, Time now);
+
+  const Settings& settings_;
+  TimerQueue& timers_;
+  RequestTable& requests_;
+  WorkerRegistry& registry_;
+  RetryBudget& budget_;
+  const SlowStart& slow_start_;
+  LoadEstimator& load_;
+  OutlierEjection& ejection_;
+  CandidateSelector& selector_;
+  AttemptRecorder& recorder_;
+  RequestLifecycle& lifecycle_;
+};
+
+}  // namespace dispatcher::scheduling
--- /dev/null
+++ b/src/scheduling/attempt_recorder.cpp
@@ -0,0 +1,135 @@
+#include "scheduling/attempt_recorder.h"
+
+#include <algorithm>
+#include <cmath>
+
+#include "scheduling/units.h"
+
+namespace dispatcher::scheduling {
+namespace {
+
+constexpr double kSpeedSampleDecay = 0.85;  // weight kept by older samples at each new one
+constexpr double kMinimumSpeed = 0.01;
+constexpr double kWarmSpeedFraction = 0.8;  // a worker that runs so fast again is warm
+
+void subtract(Worker& worker, const OutstandingAttempt& attempt) {
+  worker.own_work -= attempt.work_ms * attempt.slots;
+  worker.own_slots -= attempt.slots;
+  worker.own_memory -= attempt.memory;
+  if (attempt.started)
+    worker.started_slots -= attempt.slots;
+  worker.outstanding.erase(worker.outstanding.begin() + (&attempt - worker.outstanding.data()));
+  if (!worker.outstanding.empty())
+    return;
+  // Without rounding errors.
+  worker.own_work = 0;
+  worker.own_slots = 0;
+  worker.own_memory = 0;
+  worker.started_slots = 0;
+}
+
+}  // namespace
+
+OutstandingAttempt* find_outstanding(Worker& worker, RequestId id, int attempt) {
+  const auto found =
+      std::ranges::find_if(worker.outstanding, [&](const OutstandingAttempt& outstanding) {
+        return outstanding.id == id && outstanding.attempt == attempt;
+      });
+  return found == worker.outstanding.end() ? nullptr : &*found;
+}
+
+void AttemptRecorder::open(Worker& worker, const RequestState& state, Time now) {
+  const Request& request = state.request;
+  worker.outstanding.push_back({.id = request.id,
+                                .attempt = static_cast<int>(state.attempts.size()),
+                                .job_class = request.job_class,
+                                .work_ms = state.work_ms,
+                                .slots = request.slots,
+                                .memory = request.memory,
+                                .sent = now,
+                                .started = {},
+                                .last_heard = now});
+  worker.own_work += state.slot_work();
+  worker.own_slots += request.slots;
+  worker.own_memory += request.memory;
+  slow_start_.on_send(worker, state, registry_.mean_speed(), now);
+}
+
+void AttemptRecorder::close(Worker& worker, const AttemptEnd& end, Time now) {
+  const OutstandingAttempt* attempt = find_outstanding(worker, end.id, end.attempt);
+  if (!attempt)
+    return;
+  if (end.outcome == Outcome::Success)
+    learn_from_success(worker, *attempt, now);
+  ejection_.on_attempt_end(worker, attempt->job_class, end.outcome, now);
+  if (end.outcome == Outcome::Rejected)
+    on_rejected(worker, *attempt, now);
+  load_.record_peak(worker, now);
+  subtract(worker, *attempt);
+  on_report(worker, end.report, true, now);
+}
+
+void AttemptRecorder::on_report(Worker& worker, const LoadReport& report, bool with_attempt_end,
+                                Time now) {
+  ejection_.on_error_rate(worker, report.fail_rate.value_or(NAN), load_.mean_slot_time(worker),
+                          now);
+  load_.on_report(worker, report, with_attempt_end, now);
+}
+
+void AttemptRecorder::on_rejected(Worker& worker, const OutstandingAttempt& attempt, Time now) {
+  // Rejected with all slots free: it does not fit.
+  if (worker.outstanding.size() == 1 && attempt.slots > 1 &&
+      load_.external_slots(worker, now) < 0.5)
+    worker.rejected_slots = attempt.slots;
+  ejection_.on_rejected(worker, load_.mean_slot_time(worker), now);
+  load_.on_rejected(worker, now);
+}
+
+void AttemptRecorder::learn_from_success(Worker& worker, const OutstandingAttempt& attempt,
+                                         Time now) {
+  const auto found = requests_.find(attempt.id);
+  // The client sets the pace of a streamed request, not the worker.
+  const bool paced_by_worker = found == requests_.end() || !found->second.request.streamed;
+  double work_ms = attempt.work_ms;
+  if (paced_by_worker && found != requests_.end())
+    work_ms = learn_work(worker, attempt, found->second, now);
+  if (attempt.started || (!settings_.reports_job_start && paced_by_worker))
+    learn_speed(worker, attempt, work_ms, now);
+}
+
+// The work of the request, as far as is known now. Without hints only the ends tell what a class
+// costs, in units of the mean worker's speed: work and speeds learned from each other would drift
+// together.
+double AttemptRecorder::learn_work(const Worker& worker, const OutstandingAttempt& attempt,
+                                   const RequestState& state, Time now) {
+  if (!attempt.started && settings_.reports_job_start)
+    return attempt.work_ms;
+  const double ran_ms = std::max(milliseconds(now - attempt.started.value_or(attempt.sent)),
+                                 milliseconds(settings_.tick));
+  const double seen_ms = ran_ms * worker.speed * slow_start_.capacity_fraction(worker, now);
+  ClassCosts& costs = costs_.of_class(state.request.job_class);
+  if (state.cost_hint_ms <= 0)
+    return costs.learn(seen_ms / registry_.mean_speed());
+  if (attempt.started && seen_ms > 0)
+    costs.hints.learn(state.cost_hint_ms, seen_ms);
+  return attempt.work_ms;
+}
+
+void AttemptRecorder::learn_speed(Worker& worker, const OutstandingAttempt& attempt, double work_ms,
+                                  Time now) {
+  const double ran_ms = milliseconds(now - attempt.started.value_or(attempt.sent));
+  if (ran_ms <= 0)
+    return;
+  const double mean_work_ms = costs_.mean_work_ms();
+  worker.speed_work = kSpeedSampleDecay * worker.speed_work + work_ms;
+  worker.speed_time =
+      kSpeedSampleDecay * worker.speed_time + ran_ms * slow_start_.capacity_fraction(worker, now);
+  // Taken for restarted after a silence, but it was not.
+  if (worker.warming_up_since && worker.warming_up_since != worker.online_since &&
+      work_ms / ran_ms > kWarmSpeedFraction * worker.speed)
+    worker.warming_up_since.reset();
+  worker.speed = std::max(kMinimumSpeed, (worker.speed_work + mean_work_ms * worker.speed) /
+                                             (worker.speed_time + mean_work_ms));
+}
+
+}  // namespace dispatcher::scheduling
--- /dev/null
+++ b/src/scheduling/candidate_selector.cpp
@@ -0,0 +1,105 @@
+#include "scheduling/candidate_selector.h"
+
+#include "scheduling/idempotency.h"
+
+namespace dispatcher::scheduling {
+namespace {
+
+constexpr double kMaximumQueueShare = 0.3;    // of the slack, spent waiting in a worker's queue
+constexpr double kCrossingMargin = 4;         // times its cost a crossing must seem to save
+constexpr double kOverQuotaTolerance = -0.5;  // slots: one stays free for requests within quota
+constexpr double kMinimumRunFraction = 0.7;   // of the expected run that is certainly needed
+constexpr double kMinimumSpeed = 0.01;
+constexpr Duration kMinimumSlack{1e-3};
+
+}  // namespace
+
+double CandidateSelector::crossing_cost(const RequestState& state) const {
+  return kCrossingMargin * settings_.cross_zone_price * costs_.mean_priority_weight() /
+         std::max(1e-9, priority_weight(state, settings_));
+}
+
+bool CandidateSelector::crossing_may_pay(const RequestState& state) const {
+  return crossing_cost(state) < kCrossingMargin * kMaximumQueueShare;
+}
+
+bool CandidateSelector::can_run(const Worker& worker, const RequestState& state) const {
+  if (state.class_settings.kind >= 0 && state.class_settings.kind != worker.kind)
+    return false;
+  if (state.request.slots >= worker.rejected_slots)
+    return false;
+  return !worker.slots_known ||
+         std::max(state.request.slots, state.request.memory) <= load_.maximum_slots() + 0.5;
+}
+
+bool CandidateSelector::eligible(Worker& worker, const RequestState& state, Time now) const {
+  return worker.ready && can_run(worker, state) && ejection_.accepts(worker, state, now) &&
+         may_send(worker, state, settings_, now) &&
+         slow_start_.within_budget(worker, state, registry_.mean_speed(), now);
+}
+
+Time CandidateSelector::latest_useful_start(const RequestState& state) const {
+  double maximum_speed = kMinimumSpeed;
+  for (const Worker* worker : registry_.ready()) {
+    if (can_run(*worker, state))
+      maximum_speed = std::max(maximum_speed, worker->speed);
+  }
+  return state.objective_deadline - Duration(kMinimumRunFraction * state.work_ms / maximum_speed);
+}
+
+Worker* CandidateSelector::choose(const RequestState& state, Time now) {
+  const Candidate local = best_of(state, false, now);
+  const double cost = crossing_cost(state);
+  if (local.worker && local.delay_share <= cost)
+    return local.worker;
+  if (cost >= 1)
+    return local.worker;
+  const Candidate remote = best_of(state, true, now);
+  const bool cross = remote.worker && remote.delay_share + cost < local.delay_share;
+  return cross ? remote.worker : local.worker;
+}
+
+CandidateSelector::Candidate CandidateSelector::best_of(const RequestState& state, bool remote,
+                                                        Time now) {
+  const bool own_pool = cutoff_.is_short(state);
+  const bool may_queue = !state.late && settings_.hedging_allowed;
+  Candidate best;
+  for (const double maximum_delay_share : {0.0, kMaximumQueueShare}) {
+    if (maximum_delay_share > 0 && !may_queue)
+      break;
+    for (const bool short_pool : {own_pool, !own_pool}) {
+      const Round round{remote, short_pool, maximum_delay_share};
+      visit_candidates(state, registry_.pool(remote, short_pool), now,
+                       [&](Worker& worker) { consider(worker, state, round, now, best); });
+      if (best.worker)
+        return best;
+    }
+  }
+  return best;
+}
+
+void CandidateSelector::consider(Worker& worker, const RequestState& state, const Round& round,
+                                 Time now, Candidate& best) {
+  if (!eligible(worker, state, now) || (worker.zone != settings_.zone) != round.remote ||
+      worker.short_pool != round.short_pool)
+    return;
+  const Duration delay = load_.start_delay(worker, state, now);
+  const Duration slack = state.objective_deadline - now - slow_start_.run_time(worker, state, now);
+  if (slack < Duration(0) ||
+      (state.over_quota && !load_.has_room(worker, state, now, kOverQuotaTolerance)))
+    return;
+  const double delay_share = delay / std::max(slack, kMinimumSlack);
+  if (!best.worker)
+    best.delay_share = std::min(best.delay_share, delay_share);
+  if (delay_share > round.maximum_delay_share)
+    return;
+  // Of sampled workers that tie the first one drawn is taken, not the fastest.
+  const double added_work = registry_.uses_sampling() ? 0 : state.slot_work();
+  const double relative_load =
+      (worker.own_work + load_.external_slots(worker, now) * costs_.mean_work_ms() + added_work) /
+      (worker.slots * slow_start_.likely_speed(worker, now));
+  if (!best.worker || relative_load < best.relative_load)
+    best = {&worker, delay_share, relative_load};
+}
+
+}  // namespace dispatcher::scheduling
--- /dev/null
+++ b/src/scheduling/candidate_selector.h
@@ -0,0 +1,115 @@
+// Chooses the worker for a request.
+#pragma once
+
+#include <algorithm>
+#include <cstddef>
+#include <random>
+
+#include "dispatcher/scheduling/types.h"
+#include "scheduling/cost_estimator.h"
+#include "scheduling/load_estimator.h"
+#include "scheduling/outlier_ejection.h"
+#include "scheduling/request_state.h"
+#include "scheduling/size_cutoff.h"
+#include "scheduling/slow_start.h"
+#include "scheduling/worker_registry.h"
+
+namespace dispatcher::scheduling {
+
+// SITA-U-fair with exceptions, as an order of preference. A request goes to the worker of its size
+// pool that has the least work for its capacity and can start it now.
+//
+// Spill: if no worker of its own pool can start it now, it goes to the other pool. A queue is
+// joined only when no worker of either pool can, for a limited part of the request's slack, and
+// only where hedging is allowed: nothing else gets a request out of a queue.
+//
+// Zones: it goes to another zone when that saves more of its slack than the crossing costs of its
+// weight.
+class CandidateSelector {
+ public:
+  // All references must outlive the selector.
+  CandidateSelector(const Settings& settings, const CostEstimator& costs,
+                    const SlowStart& slow_start, const WorkerRegistry& registry,
+                    LoadEstimator& load, const OutlierEjection& ejection, const SizeCutoff& cutoff,
+                    std::mt19937_64& random)
+      : settings_(settings),
+        costs_(costs),
+        slow_start_(slow_start),
+        registry_(registry),
+        load_(load),
+        ejection_(ejection),
+        cutoff_(cutoff),
+        random_(random) {}
+
+  // The worker to send to; null if no worker can start the request soon.
+  Worker* choose(const RequestState& state, Time now);
+
+  // Whether the request may go to the worker now, whatever the worker's load.
+  bool eligible(Worker& worker, const RequestState& state, Time now) const;
+  // After this the request would be late even at the fastest worker.
+  Time latest_useful_start(const RequestState& state) const;
+  // Whether a crossing can cost less than the longest queue that is joined.
+  bool crossing_may_pay(const RequestState& state) const;
+
+  // Visits those workers of the pool that are warming up and whose budget is ours, then `count`
+  // others drawn by capacity, with repeats.
+  template <class Visit>
+  void sample(const WorkerPool& pool, std::size_t count, Time now, Visit visit) {
+    for (Worker* worker : pool.workers) {
+      if (slow_start_.warming_up(*worker, now) &&
+          slow_start_.budget_share(*worker, registry_.mean_speed(), now) > 0)
+        visit(*worker);
+    }
+    const auto& cumulative = pool.cumulative_capacity;
+    if (pool.workers.empty() || cumulative.back() <= 0)
+      return;
+    std::uniform_real_distribution<double> point(0, cumulative.back());
+    for (std::size_t i = 0; i < count; ++i) {
+      const auto at = std::upper_bound(cumulative.begin(), cumulative.end() - 1, point(random_));
+      visit(*pool.workers[at - cumulative.begin()]);
+    }
+  }
+
+ private:
+  struct Candidate {
+    Worker* worker = nullptr;
+    double delay_share = 1;  // of the request's slack; without a worker, the least that was seen
+    double relative_load = 0;
+  };
+  struct Round {
+    bool remote;  // in another zone
+    bool short_pool;
+    double maximum_delay_share;
+  };
+
+  Candidate best_of(const RequestState& state, bool remote, Time now);
+  void consider(Worker& worker, const RequestState& state, const Round& round, Time now,
+                Candidate& best);
+  bool can_run(const Worker& worker, const RequestState& state) const;
+  double crossing_cost(const RequestState& state) const;
+
+  // All workers of the pool, those whose load was checked for this request, or a sample.
+  template <class Visit>
+  void visit_candidates(const RequestState& state, const WorkerPool& pool, Time now, Visit visit) {
+    const std::size_t sample_size = registry_.sample_size();
+    const bool restricted = state.class_settings.kind >= 0 || state.any_may_have_run();
+    const bool all = !registry_.uses_sampling() || restricted || sample_size >= pool.workers.size();
+    if (!all && state.checked_workers.empty()) {
+      sample(pool, sample_size, now, visit);
+      return;
+    }
+    for (Worker* worker : all ? pool.workers : state.checked_workers)
+      visit(*worker);
+  }
+
+  const Settings& settings_;
+  const CostEstimator& costs_;
+  const SlowStart& slow_start_;
+  const WorkerRegistry& registry_;
+  LoadEstimator& load_;
+  const OutlierEjection& ejection_;
+  const SizeCutoff& cutoff_;
+  std::mt19937_64& random_;
+};
+
+}  // namespace dispatcher::scheduling
--- /dev/null
+++ b/src/scheduling/endpoint_watcher.h
@@ -0,0 +1,40 @@
+// Keeps the watch of the endpoint list alive.
+#pragma once
+
+#include <cstdint>
+#include <random>
+
+#include "dispatcher/scheduling/types.h"
+#include "scheduling/action_sink.h"
+#include "scheduling/timer_queue.h"
+
+namespace dispatcher::scheduling {
+
+// Watches at start and again after each failure, inside `poll_deadline` or what a failed call
+// leaves of four times that. Discovery serves its callers one by one, and callers whose calls fail
+// together would keep it overloaded: the backoff grows with the number of dispatchers, and where
+// they are many and hold a cached list, a delay comes before the first call too.
+class EndpointWatcher {
+ public:
+  // All references must outlive the watcher.
+  EndpointWatcher(const Settings& settings, ActionSink& actions, TimerQueue& timers,
+                  std::mt19937_64& random)
+      : settings_(settings), actions_(actions), timers_(timers), random_(random) {}
+
+  void on_update(Time now, EndpointUpdateKind kind, bool empty);
+  // Watches again if the timer belongs to the latest call or delay.
+  void on_timer(Time now, std::uint64_t call);
+
+ private:
+  void watch(Time now);
+
+  const Settings& settings_;
+  ActionSink& actions_;
+  TimerQueue& timers_;
+  std::mt19937_64& random_;
+  bool watching_ = false;
+  std::uint64_t latest_call_ = 0;
+  Duration backoff_{0};
+};
+
+}  // namespace dispatcher::scheduling
--- /dev/null
+++ b/src/scheduling/load_estimator.cpp
@@ -0,0 +1,112 @@
+#include "scheduling/load_estimator.h"
+
+#include <cmath>
+
+namespace dispatcher::scheduling {
+namespace {
+
+constexpr Duration kReportAge{1000};      // load reports may be this old when they arrive
+constexpr double kBusyShareWeight = 0.8;  // of the reported busy share against the free slots
+constexpr double kMeanGain = 0.05;        // weight of each new sample
+constexpr double kMaximumReportedSlots = 1e4;
+constexpr Duration kImmediateStart{20};   // and four ticks
+constexpr double kMinimumRunLeft = 0.25;  // of the time an attempt has run already
+
+}  // namespace
+
+Duration LoadEstimator::start_delay(const Worker& worker, const RequestState& state, Time now) {
+  const double external = external_slots(worker, now);
+  const double needed = state.request.slots;
+  if (worker.own_slots + external + needed <= worker.slots + 0.5 &&
+      worker.own_memory + state.request.memory <= worker.slots)
+    return Duration(0);
+  double queued_ms = 0;
+  const double speed = slow_start_.likely_speed(worker, now);
+  releases_.clear();
+  for (const OutstandingAttempt& attempt : worker.outstanding) {
+    if (!attempt.started && settings_.reports_job_start) {
+      queued_ms += attempt.work_ms * attempt.slots / speed;
+      continue;
+    }
+    const double ran_ms = milliseconds(now - attempt.started.value_or(attempt.sent));
+    releases_.push_back(
+        {std::max(attempt.work_ms / speed - ran_ms, kMinimumRunLeft * ran_ms), attempt.slots});
+  }
+  const double external_running =
+      std::min(external, std::max(0.0, worker.slots - worker.started_slots));
+  queued_ms += (external - external_running) * costs_.mean_work_ms() / speed;
+  if (external_running >= 0.5)
+    releases_.push_back({0.5 * costs_.mean_work_ms() / speed, external_running});
+  std::sort(releases_.begin(), releases_.end());
+  double free = worker.slots - external_running - worker.started_slots;
+  double wait_ms = 0;
+  for (std::size_t i = 0; i < releases_.size() && free + 0.5 < needed; ++i) {
+    wait_ms = releases_[i].after_ms;
+    free += releases_[i].slots;
+  }
+  return Duration(wait_ms + queued_ms / worker.slots);
+}
+
+void LoadEstimator::on_report(Worker& worker, const LoadReport& report, bool with_attempt_end,
+                              Time now) {
+  if (!report.free_slots || !std::isfinite(*report.free_slots))
+    return;
+  const double free = std::max(0.0, *report.free_slots);
+  worker.slots = std::max(
+      {worker.slots, worker.started_slots, free < kMaximumReportedSlots ? std::round(free) : 0});
+  maximum_slots_ = std::max(maximum_slots_, worker.slots);
+  worker.slots_known = true;
+  // A report that comes with the end of an attempt was taken while it, and others of ours that have
+  // ended since, still ran: they must not count as external.
+  const bool peak_counts = with_attempt_end && now - worker.peak_at < kReportAge;
+  const double own = std::max(worker.own_slots, peak_counts ? worker.peak_slots : 0);
+  const double own_running = std::min(own, worker.slots);
+  double external = worker.slots - free - own_running;
+  // Free slots are of one moment, the busy share of a time span: it shows what lasts.
+  if (report.busy && std::isfinite(*report.busy)) {
+    external += kBusyShareWeight *
+                (worker.slots * std::clamp(*report.busy, 0.0, 1.0) - own_running - external);
+  }
+  double with_queue = external;
+  if (report.inflight) {
+    with_queue = *report.inflight - own;
+  } else if (report.queue) {
+    with_queue = external + *report.queue;
+  }
+  set_external_slots(worker, std::isfinite(with_queue) ? std::max(external, with_queue) : external,
+                     now);
+  const double utilization = (worker.external_slots + worker.own_slots) / worker.slots;
+  mean_utilization_ += kMeanGain * (utilization - mean_utilization_);
+}
+
+void LoadEstimator::on_started(Worker& worker, OutstandingAttempt& attempt, Time now) {
+  const bool immediate = now - attempt.sent < kImmediateStart + 4 * settings_.tick;
+  attempt.started = now;
+  immediate_start_fraction_ += kMeanGain * ((immediate ? 1 : 0) - immediate_start_fraction_);
+  worker.started_slots += attempt.slots;
+  worker.slots = std::max(worker.slots, worker.started_slots);
+  const double left = worker.slots - worker.started_slots;
+  if (immediate) {  // at least its own slots were free
+    set_external_slots(worker,
+                       std::min(external_slots(worker, now), worker.slots - worker.own_slots), now);
+  } else if (left > 0) {  // the queue that it waited in may be as long still
+    set_external_slots(worker,
+                       std::max(external_slots(worker, now),
+                                left + 0.5 * (now - attempt.sent) / mean_slot_time(worker)),
+                       now);
+  }
+}
+
+void LoadEstimator::on_still_waiting(Worker& worker, Time now) {
+  set_external_slots(
+      worker, std::max(external_slots(worker, now), worker.slots - worker.started_slots), now);
+}
+
+void LoadEstimator::record_peak(Worker& worker, Time now) const {
+  if (now - worker.peak_at < kReportAge && worker.own_slots < worker.peak_slots)
+    return;
+  worker.peak_slots = worker.own_slots;
+  worker.peak_at = now;
+}
+
+}  // namespace dispatcher::scheduling
--- /dev/null
+++ b/src/scheduling/load_estimator.h
@@ -0,0 +1,95 @@
+// Estimates how busy workers are and when a request would start.
+#pragma once
+
+#include <algorithm>
+#include <vector>
+
+#include "dispatcher/scheduling/types.h"
+#include "scheduling/cost_estimator.h"
+#include "scheduling/request_state.h"
+#include "scheduling/slow_start.h"
+#include "scheduling/worker.h"
+
+namespace dispatcher::scheduling {
+
+// External slots are those held by requests that are not ours, as load reports, start events and
+// waits show them. As such requests end, within about two mean runs, the estimate turns into the
+// mean of the fleet: other dispatchers go on sending, and the worker with the oldest report must
+// not look the freest. Without reports the estimate lasts longer.
+//
+// Gossip replaces it: reports are up to a second old, and the worker that looks free in one gets
+// the requests of all dispatchers. Those few that are near a worker tell each other what they have
+// there now.
+class LoadEstimator {
+ public:
+  // All references must outlive the estimator.
+  LoadEstimator(const Settings& settings, const CostEstimator& costs, const SlowStart& slow_start)
+      : settings_(settings), costs_(costs), slow_start_(slow_start) {}
+
+  double external_slots(const Worker& worker, Time now) const {
+    if (has_gossip(worker, now))
+      return *worker.gossiped_slots;
+    const double runs = settings_.reports == LoadReportMode::Off ? kRunsWithoutReports : kRuns;
+    const double fresh =
+        1 / (1 + (now - worker.external_slots_at) / Duration(runs * costs_.mean_work_ms()));
+    return worker.external_slots * fresh +
+           std::max(0.0, mean_utilization_ * worker.slots - worker.own_slots) * (1 - fresh);
+  }
+  bool has_gossip(const Worker& worker, Time now) const {
+    return worker.gossiped_slots && now - gossip_at_ < kGossipLifetime;
+  }
+  // Whether the request would start at once. `tolerance` is in slots.
+  bool has_room(const Worker& worker, const RequestState& state, Time now,
+                double tolerance = 0.25) const {
+    return worker.own_slots + external_slots(worker, now) + state.request.slots <=
+           worker.slots + tolerance;
+  }
+  // How long until a request would start at the worker, whose queue is served in order.
+  Duration start_delay(const Worker& worker, const RequestState& state, Time now);
+  // The mean time between two slots of the worker becoming free.
+  Duration mean_slot_time(const Worker& worker) const {
+    return Duration(costs_.mean_work_ms() / (worker.slots * worker.speed));
+  }
+
+  void on_gossip(Time now) { gossip_at_ = now; }
+  void on_report(Worker& worker, const LoadReport& report, bool with_attempt_end, Time now);
+  void on_rejected(Worker& worker, Time now) { set_external_slots(worker, worker.slots, now); }
+  void on_started(Worker& worker, OutstandingAttempt& attempt, Time now);
+  // An attempt has not started although it was sent a while ago: all other slots are taken.
+  void on_still_waiting(Worker& worker, Time now);
+  // To be called before the worker's own slots decrease.
+  void record_peak(Worker& worker, Time now) const;
+  void halve_mean_utilization() { mean_utilization_ /= 2; }
+
+  double mean_utilization() const { return mean_utilization_; }
+  // Of recent requests, those that started at once, as far as start events tell.
+  double immediate_start_fraction() const { return immediate_start_fraction_; }
+  double maximum_slots() const { return maximum_slots_; }  // of any worker that has reported
+
+ private:
+  struct SlotRelease {
+    double after_ms;
+    double slots;
+    auto operator<=>(const SlotRelease&) const = default;
+  };
+
+  static constexpr double kRuns = 2;  // mean runs after which half of what was seen is forgotten
+  static constexpr double kRunsWithoutReports = 20;
+  static constexpr Duration kGossipLifetime = std::chrono::seconds(5);
+
+  static void set_external_slots(Worker& worker, double slots, Time now) {
+    worker.external_slots = std::max(0.0, slots);
+    worker.external_slots_at = now;
+  }
+
+  const Settings& settings_;
+  const CostEstimator& costs_;
+  const SlowStart& slow_start_;
+  double mean_utilization_ = 0;
+  double immediate_start_fraction_ = 1;
+  double maximum_slots_ = kDefaultSlots;
+  Time gossip_at_{Duration(-1e12)};    // of any worker; never at first
+  std::vector<SlotRelease> releases_;  // scratch of start_delay()
+};
+
+}  // namespace dispatcher::scheduling
--- /dev/null
+++ b/src/scheduling/outlier_ejection.cpp
@@ -0,0 +1,168 @@
+#include "scheduling/outlier_ejection.h"
+
+#include <algorithm>
+#include <string>
+#include <utility>
+
+#include "scheduling/units.h"
+
+namespace dispatcher::scheduling {
+namespace {
+
+constexpr double kMaximumScore = 2.0;
+// What slowness adds up to at most where a health check can tell: a busy worker looks the same.
+constexpr double kMaximumSlownessScore = 0.9;
+constexpr double kConnectionScore = 1.0;
+constexpr double kTimeoutScore = 0.5;
+constexpr double kSilenceScore = 0.5;
+constexpr double kSlownessScore = 0.15;
+constexpr double kFailedCheckScore = 0.6;
+constexpr double kScoreKeptWhenAlive = 0.3;
+
+constexpr Duration kRepeatedEjection = std::chrono::seconds(2);
+constexpr Duration kMaximumProbeBackoff = 4 * kRecoveryProbeInterval;
+constexpr Duration kReportFreshness{500};  // a worker heard of within this needs no check
+constexpr Duration kSignOfLifeFreshness = std::chrono::seconds(1);
+
+constexpr int kSuccessesOfTrust = 3;  // in a row, after which one failure is taken for chance
+constexpr Duration kMinimumClassBackoff = std::chrono::seconds(5);
+constexpr Duration kMaximumClassBackoff = 8 * kMinimumClassBackoff;
+constexpr double kMaximumRejectionSlotTimes = 8;
+
+constexpr double kErrorFraction = 0.15;  // of what a worker could serve; more is not chance
+constexpr double kErrorMeanFactor = 2;   // and this many times the mean on top
+constexpr double kErrorMeanGain = 0.02;
+constexpr Duration kErrorBackoff = std::chrono::seconds(2);
+
+}  // namespace
+
+void OutlierEjection::check_health(Worker& worker, Time now) {
+  if (std::exchange(worker.health_check_open, true))
+    return;
+  worker.reported_at = now;
+  actions_.check_health(worker.id);
+}
+
+void OutlierEjection::check_oldest_report(const std::vector<Worker*>& workers, Time now) {
+  Worker* oldest = nullptr;
+  for (Worker* worker : workers) {
+    if (!worker->health_check_open && !ejected(*worker, now) &&
+        (!oldest || worker->reported_at < oldest->reported_at))
+      oldest = worker;
+  }
+  if (oldest && settings_.health_checks_allowed && now - oldest->reported_at > kReportFreshness)
+    check_health(*oldest, now);
+}
+
+void OutlierEjection::probe_ejected(const std::vector<Worker*>& workers, Time now) {
+  for (Worker* worker : workers) {
+    if (ejected(*worker, now) && now >= worker->recovery_probe_at && !worker->health_check_open) {
+      check_health(*worker, now);
+      postpone_recovery_probe(*worker, now);
+    }
+  }
+}
+
+void OutlierEjection::postpone_recovery_probe(Worker& worker, Time now) {
+  worker.recovery_probe_at = now + worker.recovery_probe_backoff;
+  worker.recovery_probe_backoff = std::min(2 * worker.recovery_probe_backoff, kMaximumProbeBackoff);
+  if (settings_.health_checks_allowed)
+    timers_.schedule(worker.recovery_probe_at, TimerKind::RecoveryProbe, 0);
+}
+
+void OutlierEjection::add_failure(Worker& worker, double score, std::string_view symptom,
+                                  double maximum, Time now) {
+  const double before = failure_score(worker, now);
+  if (before >= maximum)
+    return;
+  worker.failure_score = std::min(maximum, before + score);
+  worker.failure_score_at = now;
+  if (before >= kEjectionScore || worker.failure_score < kEjectionScore)
+    return;
+  actions_.log("worker " + worker.id + " taken as down: " + std::string(symptom));
+  worker.recovery_probe_backoff = kRecoveryProbeInterval;
+  postpone_recovery_probe(worker, now);
+  // One lost connection is not a lost worker: it may show life at once, but not each time.
+  if (settings_.health_checks_allowed && now - worker.ejected_at > kRepeatedEjection)
+    check_health(worker, now);
+  worker.ejected_at = now;
+}
+
+void OutlierEjection::on_alive(Worker& worker, Time now) {
+  worker.last_heard = now;
+  if (worker.failure_score <= 0)
+    return;
+  if (ejected(worker, now)) {
+    actions_.log("worker " + worker.id + " shows life");
+    // Warming up until shown otherwise: it may have been restarted.
+    if (!slow_start_.warming_up(worker, now) &&
+        now - worker.ejected_at >= kRecoveryProbeInterval / 2)
+      worker.warming_up_since = now;
+  }
+  worker.failure_score = kScoreKeptWhenAlive * std::min(failure_score(worker, now), kEjectionScore);
+  worker.failure_score_at = now;
+  worker.recovery_probe_backoff = kRecoveryProbeInterval;
+}
+
+void OutlierEjection::on_attempt_end(Worker& worker, std::size_t job_class, Outcome outcome,
+                                     Time now) {
+  ClassEjection& ejection = worker.class_ejections[job_class];
+  switch (outcome) {
+    case Outcome::Success:
+      on_alive(worker, now);
+      ejection = {.consecutive_successes = ejection.consecutive_successes + 1};
+      break;
+    case Outcome::Failure:
+      if (std::exchange(ejection.consecutive_successes, 0) < kSuccessesOfTrust) {
+        ejection.backoff =
+            std::clamp(2 * ejection.backoff, kMinimumClassBackoff, kMaximumClassBackoff);
+        ejection.until = now + ejection.backoff;
+      }
+      break;
+    case Outcome::ConnectFailed:
+      add_failure(worker, kConnectionScore, "unreachable", kMaximumScore, now);
+      break;
+    case Outcome::ConnectionReset:
+      add_failure(worker, kConnectionScore, "connection broken", kMaximumScore, now);
+      break;
+    case Outcome::TimedOut:
+      add_failure(worker, kTimeoutScore, "time-out", kMaximumScore, now);
+      break;
+    case Outcome::Rejected:
+    case Outcome::Cancelled:
+    case Outcome::NotSent:
+      break;
+  }
+}
+
+void OutlierEjection::on_rejected(Worker& worker, Duration slot_time, Time now) {
+  worker.rejection_backoff =
+      std::clamp(2 * worker.rejection_backoff, slot_time, kMaximumRejectionSlotTimes * slot_time);
+  worker.backoff_until = now + worker.rejection_backoff;
+}
+
+void OutlierEjection::on_attempt_slow(Worker& worker, bool silent, Time now) {
+  if (settings_.health_checks_allowed && now - worker.reported_at > kReportFreshness)
+    check_health(worker, now);
+  add_failure(worker, silent ? kSilenceScore : kSlownessScore, "slow or silent",
+              settings_.health_checks_allowed ? kMaximumSlownessScore : kMaximumScore, now);
+}
+
+// A worker heard of lately is only busy: a health check that does real work may have to wait.
+void OutlierEjection::on_health_check_failed(Worker& worker, Outcome outcome, Time now) {
+  if (outcome == Outcome::Rejected || outcome == Outcome::NotSent ||
+      now - worker.last_heard < kSignOfLifeFreshness)
+    return;
+  add_failure(worker, kFailedCheckScore, "probe failed", kMaximumScore, now);
+}
+
+void OutlierEjection::on_error_rate(Worker& worker, double errors_per_s, Duration slot_time,
+                                    Time now) {
+  const double fraction = errors_per_s * seconds(slot_time);
+  if (fraction > kErrorFraction + kErrorMeanFactor * mean_error_fraction_)
+    worker.backoff_until = std::max(worker.backoff_until, now + kErrorBackoff);
+  if (fraction >= 0)
+    mean_error_fraction_ += kErrorMeanGain * (std::min(1.0, fraction) - mean_error_fraction_);
+}
+
+}  // namespace dispatcher::scheduling
--- /dev/null
+++ b/src/scheduling/outlier_ejection.h
@@ -0,0 +1,95 @@
+// Judges the health of workers from symptoms, ejects outliers and probes for their recovery.
+#pragma once
+
+#include <cstddef>
+#include <string_view>
+#include <vector>
+
+#include "dispatcher/scheduling/types.h"
+#include "scheduling/action_sink.h"
+#include "scheduling/request_state.h"
+#include "scheduling/slow_start.h"
+#include "scheduling/timer_queue.h"
+#include "scheduling/worker.h"
+
+namespace dispatcher::scheduling {
+
+// Symptoms add to a worker's failure score, signs of life take most of it away. From kSuspectScore
+// on the worker gets no requests that are not idempotent; from kEjectionScore on it is ejected and
+// gets recovery probes only. Below that the score fades; an ejected worker stays ejected until it
+// shows life. Without health checks an idempotent request serves as probe.
+//
+// Ejected for a class: a worker that failed a request of one class, and not by chance, gets none of
+// that class for a time that grows until it serves one. It may serve the others. This is too strict
+// where errors are frequent everywhere.
+//
+// Failing: a worker that fails fast looks free. One that reports far more errors than the others
+// do, in relation to what it could serve, gets nothing for a while.
+class OutlierEjection {
+ public:
+  // All references must outlive this object.
+  OutlierEjection(const Settings& settings, ActionSink& actions, TimerQueue& timers,
+                  const SlowStart& slow_start)
+      : settings_(settings), actions_(actions), timers_(timers), slow_start_(slow_start) {}
+
+  bool ejected(const Worker& worker, Time now) const {
+    return failure_score(worker, now) >= kEjectionScore;
+  }
+  bool accepts(const Worker& worker, const RequestState& state, Time now) const {
+    const double score = failure_score(worker, now);
+    if (now < worker.backoff_until || ejected_for_class(worker, state.request.job_class, now))
+      return false;
+    const bool repeatable = state.class_settings.idempotency != Idempotency::NonIdempotent;
+    if (score >= kEjectionScore) {
+      return !settings_.health_checks_allowed && now >= worker.recovery_probe_at &&
+             worker.outstanding.empty() && repeatable;
+    }
+    return score < kSuspectScore || repeatable;
+  }
+
+  // Starts a health check, unless one is open at the worker.
+  void check_health(Worker& worker, Time now);
+  // Where reports come with health checks only: checks the worker whose report is the oldest, about
+  // once for each request.
+  void check_oldest_report(const std::vector<Worker*>& workers, Time now);
+  void probe_ejected(const std::vector<Worker*>& workers, Time now);
+  void postpone_recovery_probe(Worker& worker, Time now);
+
+  void on_alive(Worker& worker, Time now);
+  void on_attempt_end(Worker& worker, std::size_t job_class, Outcome outcome, Time now);
+  // The worker is full: it gets nothing until a slot may be free, longer with each rejection.
+  void on_rejected(Worker& worker, Duration slot_time, Time now);
+  void on_attempt_started(Worker& worker) { worker.rejection_backoff = Duration(0); }
+  void on_attempt_slow(Worker& worker, bool silent, Time now);
+  void on_health_check_failed(Worker& worker, Outcome outcome, Time now);
+  // `slot_time` is the mean time between two slots becoming free, as a measure of what the worker
+  // could serve.
+  void on_error_rate(Worker& worker, double errors_per_s, Duration slot_time, Time now);
+
+ private:
+  static constexpr double kSuspectScore = 0.5;
+  static constexpr double kEjectionScore = 1.0;
+  static constexpr Duration kScoreHalfLife = std::chrono::seconds(5);
+
+  static double failure_score(const Worker& worker, Time now) {
+    if (worker.failure_score <= 0)
+      return 0;
+    if (worker.failure_score >= kEjectionScore)
+      return worker.failure_score;
+    return worker.failure_score / (1 + (now - worker.failure_score_at) / kScoreHalfLife);
+  }
+  static bool ejected_for_class(const Worker& worker, std::size_t job_class, Time now) {
+    const auto found = worker.class_ejections.find(job_class);
+    return found != worker.class_ejections.end() && now < found->second.until;
+  }
+  void add_failure(Worker& worker, double score, std::string_view symptom, double maximum,
+                   Time now);
+
+  const Settings& settings_;
+  ActionSink& actions_;
+  TimerQueue& timers_;
+  const SlowStart& slow_start_;
+  double mean_error_fraction_ = 0;  // of what a worker could serve
+};
+
+}  // namespace dispatcher::scheduling
--- /dev/null
+++ b/src/scheduling/pre_dispatch_check.cpp
@@ -0,0 +1,89 @@
+#include "scheduling/pre_dispatch_check.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace dispatcher::scheduling {
+namespace {
+
+constexpr int kMaximumRounds = 3;
+constexpr std::size_t kWorkersPerRound = 2;
+constexpr Duration kAnswerTimeout{8};       // and five ticks
+constexpr Duration kReportAge{100};         // a report this young need not be asked for again
+constexpr Duration kReportAgeGossip{1000};  // with gossip, which lacks little that reports tell
+
+bool already_checked(const RequestState& state, const Worker& worker) {
+  return std::ranges::find(state.checked_workers, &worker) != state.checked_workers.end();
+}
+
+}  // namespace
+
+PreDispatchCheck::Result PreDispatchCheck::run(RequestState& state, Time now) {
+  if (!settings_.health_checks_allowed || settings_.reports == LoadReportMode::Off ||
+      !registry_.uses_sampling())
+    return NotApplicable{};
+  while (state.check_rounds < kMaximumRounds) {
+    const std::size_t checked_before = state.checked_workers.size();
+    add_workers(state, state.check_rounds++, now);
+    for (std::size_t i = checked_before; i < state.checked_workers.size(); ++i) {
+      Worker& worker = *state.checked_workers[i];
+      if (load_known(worker, now)) {
+        if (load_.has_room(worker, state, now))
+          return SendTo{&worker};
+        continue;
+      }
+      ejection_.check_health(worker, now);
+      worker.waiting_requests.push_back(state.request.id);
+      ++state.open_checks;
+    }
+    if (state.open_checks > 0) {
+      timers_.schedule(now + kAnswerTimeout + 5 * settings_.tick, TimerKind::PreDispatchCheck,
+                       state.request.id);
+      return Waiting{};
+    }
+  }
+  return NotApplicable{};
+}
+
+// Rounds: own pool in the own zone, own pool in another zone if that may pay, the other pool.
+void PreDispatchCheck::add_workers(RequestState& state, int round, Time now) {
+  const bool remote = round == 1 && selector_.crossing_may_pay(state);
+  const bool short_pool = (round < 2) == cutoff_.is_short(state);
+  const auto consider = [&](Worker& worker) {
+    if (load_.has_gossip(worker, now) && !load_.has_room(worker, state, now))
+      return;
+    if (selector_.eligible(worker, state, now) && !already_checked(state, worker))
+      state.checked_workers.push_back(&worker);
+  };
+  Worker* best = best_with_affinity(state, now);
+  // Workers that are warming up come first even then.
+  selector_.sample(registry_.pool(remote, short_pool), best ? 0 : kWorkersPerRound, now, consider);
+  if (best)
+    consider(*best);
+}
+
+Worker* PreDispatchCheck::best_with_affinity(const RequestState& state, Time now) const {
+  const bool own_pool = cutoff_.is_short(state);
+  const auto order = [&](const Worker& worker) {
+    const double work = worker.own_work + *worker.gossiped_slots * costs_.mean_work_ms();
+    return std::pair(worker.short_pool != own_pool,
+                     work / (worker.slots * slow_start_.likely_speed(worker, now)));
+  };
+  Worker* best = nullptr;
+  for (Worker* worker : registry_.ready()) {
+    if (load_.has_gossip(*worker, now) && (!best || order(*worker) < order(*best)) &&
+        load_.has_room(*worker, state, now) && selector_.eligible(*worker, state, now) &&
+        !already_checked(state, *worker))
+      best = worker;
+  }
+  return best;
+}
+
+bool PreDispatchCheck::load_known(const Worker& worker, Time now) const {
+  if (slow_start_.warming_up(worker, now))
+    return true;
+  const Duration maximum_age = load_.has_gossip(worker, now) ? kReportAgeGossip : kReportAge;
+  return !worker.health_check_open && now - worker.reported_at <= maximum_age;
+}
+
+}  // namespace dispatcher::scheduling
--- /dev/null
+++ b/src/scheduling/request_state.h
@@ -0,0 +1,59 @@
+// What the scheduler remembers of one open request.
+#pragma once
+
+#include <algorithm>
+#include <optional>
+#include <unordered_map>
+#include <utility>
+#include <vector>
+
+#include "dispatcher/scheduling/types.h"
+#include "scheduling/worker.h"
+
+namespace dispatcher::scheduling {
+
+// One send of a request to a worker.
+struct Attempt {
+  Worker* worker;
+  Time sent;
+  // The first send of those attempts that may have run at the time; the deduplication window counts
+  // from it.
+  Time window_start;
+  int zone;  // zone and cell of the worker, as listed at the send
+  int cell;
+  bool open = true;
+  bool may_have_run = true;
+  bool started = false;
+};
+
+// Order of the pending requests: the lower value first, then the earlier objective deadline.
+using QueuePriority = std::pair<double, Time>;
+
+struct RequestState {
+  Request request;
+  ClassSettings class_settings;  // as it was when the request arrived
+  int maximum_attempts = 1;      // likewise
+  double cost_hint_ms = 0;       // as it arrived; 0: none
+  double pool_draw = 0;          // in [0, 1): decides about the pool where nothing else does
+  double work_ms = 0;            // expected, at standard speed
+  // Moves from the latency objective to the deadline where late answers have a value.
+  Time objective_deadline;
+  Time deadline;  // the client's timeout less a margin
+  std::vector<Attempt> attempts;
+  bool late = false;        // past its objective: runs only where it delays no other request
+  bool over_quota = false;  // likewise, and after all other pending requests
+  std::optional<QueuePriority> queue_priority;  // while it is pending
+  // Pre-dispatch health checks.
+  std::vector<Worker*> checked_workers;
+  int open_checks = 0;
+  int check_rounds = 0;
+
+  double slot_work() const { return work_ms * request.slots; }  // slot-weighted work
+  bool any_open() const { return std::ranges::any_of(attempts, &Attempt::open); }
+  bool any_may_have_run() const { return std::ranges::any_of(attempts, &Attempt::may_have_run); }
+};
+
+// Never iterated for a decision: its order is not defined.
+using RequestTable = std::unordered_map<RequestId, RequestState>;
+
+}  // namespace dispatcher::scheduling
