--- /dev/null
+++ b/src/hot_restart/adopted_requests.cpp
@@ -0,0 +1,103 @@
+#include "hot_restart/adopted_requests.h"
+
+#include <algorithm>
+#include <array>
+#include <cstdio>
+
+#include "hot_restart/protocol.h"
+
+namespace dispatcher::hot_restart {
+
+using scheduling::RequestId;
+
+namespace {
+
+// The answer is sent this long before the client gives up.
+constexpr transport::Duration kAnswerMargin{6};
+constexpr int kOk = 200;
+constexpr int kBadGateway = 502;
+
+std::string id_text(RequestId id) {
+  constexpr std::size_t digits_and_end = 17;
+  std::array<char, digits_and_end> text{};
+  std::snprintf(text.data(), text.size(), "%016llx", static_cast<unsigned long long>(id));
+  return text.data();
+}
+
+}  // namespace
+
+AdoptedRequests::AdoptedRequests(http::ClientServer& client_server, http::WorkerClient& workers,
+                                 http::Platform platform)
+    : client_server_(client_server), workers_(workers), platform_(platform) {
+  client_server_.on_adopted_job_event(
+      [this](const protocol::JobEvent& event) { return on_job_event(event); });
+}
+
+void AdoptedRequests::adopt(const AdoptedRequest& request, transport::SlotRef connection) {
+  RequestId id = request.id();
+  Entry& entry = entries_[id];
+  entry.connection = connection;
+  auto it = std::ranges::find(platform_.words.classes, request.class_name());
+  entry.job_class = static_cast<std::size_t>(it - platform_.words.classes.begin());
+  entry.workers.assign(request.worker_uids().begin(), request.worker_uids().end());
+  entry.deadline = platform_.deadlines.add(from_milliseconds(request.expires_at()) - kAnswerMargin,
+                                           [this, id] { answer_failed(id); });
+  client_server_.adopt_request_connection(
+      connection, {{}, request.connection().unread(), request.keep_alive(), request.http_1_0()},
+      [this, id] { remove(id); });
+}
+
+// False: the event is for no adopted request.
+bool AdoptedRequests::on_job_event(const protocol::JobEvent& event) {
+  auto it = entries_.find(event.id);
+  if (it == entries_.end())
+    return false;
+  using What = protocol::JobEvent::What;
+  if (event.what == What::Started || event.what == What::Progress)
+    return true;
+  std::vector<std::string>& workers = it->second.workers;
+  if (std::erase(workers, event.from) == 0)
+    return true;  // an attempt that was cancelled before
+  if (event.what == What::Done) {
+    answer(event.id, kOk, event.result);
+  } else if (workers.empty()) {
+    answer_failed(event.id);
+  }
+  return true;
+}
+
+void AdoptedRequests::answer(RequestId id, int status, std::string_view body) {
+  const Entry& entry = entries_.at(id);
+  count_answer(entry.job_class, status == kOk);
+  transport::SlotRef connection = entry.connection;
+  remove(id);
+  client_server_.answer_adopted(connection, status, body);
+}
+
+void AdoptedRequests::answer_failed(RequestId id) {
+  answer(id, kBadGateway, "failed; it may have run");
+}
+
+void AdoptedRequests::count_answer(std::size_t job_class, bool succeeded) {
+  if (job_class >= platform_.words.classes.size())
+    return;  // this process does not know the class
+  operations::Ends& ends = platform_.metrics.of(job_class);
+  ++(succeeded ? ends.fulfilled : ends.faulted);
+}
+
+void AdoptedRequests::remove(RequestId id) {
+  auto it = entries_.find(id);
+  if (it == entries_.end())
+    return;
+  for (const std::string& worker : it->second.workers)
+    workers_.cancel_job(worker, id_text(id));
+  platform_.deadlines.drop(it->second.deadline);
+  entries_.erase(it);
+}
+
+void AdoptedRequests::fail_all() {
+  while (!entries_.empty())
+    answer_failed(entries_.begin()->first);
+}
+
+}  // namespace dispatcher::hot_restart
--- /dev/null
+++ b/src/hot_restart/incoming_process.cpp
@@ -0,0 +1,235 @@
+#include "hot_restart/incoming_process.h"
+
+#include <algorithm>
+
+namespace dispatcher::hot_restart {
+
+using Action = IncomingOwnership::Action;
+using scheduling::Duration;
+using transport::Packet;
+
+namespace {
+
+constexpr Duration kFirstAnswerTimeout{1000};
+constexpr Duration kAskAgainDelay{100};
+// Connections that may be accepted while the outgoing process holds nearly all there may be.
+constexpr std::size_t kMinAccepted = 8;
+
+Packet hello_packet(const DispatcherIdentity& self) {
+  return {make_hello(self).SerializeAsString(), {}};
+}
+
+}  // namespace
+
+std::optional<OutgoingProcessContact> contact_outgoing_process(const std::string& socket_path,
+                                                               const DispatcherIdentity& self,
+                                                               operations::Log& log) {
+  OutgoingProcessContact contact;
+  contact.socket = transport::connect_local(socket_path);
+  if (!contact.socket)
+    return std::nullopt;
+  log.line("upgrade", "another process of this dispatcher is here");
+  transport::send_packet(contact.socket.get(), hello_packet(self));
+  auto packet = transport::receive_within(contact.socket.get(), kFirstAnswerTimeout);
+  std::optional<Message> message = packet ? read_message(packet->bytes) : std::nullopt;
+  if (!message)
+    return contact;
+  if (message->has_rejection()) {
+    log.line("upgrade", "it turned us away: " + message->rejection().reason());
+    contact.rejected = true;
+  } else if (message->has_welcome() && packet->descriptors.size() == 1) {
+    contact.welcome = message->welcome();
+    contact.listener = std::move(packet->descriptors[0]);
+  }
+  return contact;
+}
+
+IncomingProcess::IncomingProcess(const Options& options, const ProcessContext& context,
+                                 ProcessLink& predecessor, SharedEvents& shared_events,
+                                 Callbacks callbacks)
+    : options_(options),
+      context_(context),
+      predecessor_(predecessor),
+      shared_events_(shared_events),
+      callbacks_(std::move(callbacks)) {}
+
+void IncomingProcess::start(std::optional<OutgoingProcessContact> contact) {
+  if (!contact)
+    return carry_out(ownership_.on_no_listener());
+  if (contact->rejected)
+    return carry_out(ownership_.on_rejection());
+  context_.program.set_serving(false);
+  context_.network.limit(options_.shared_limits(options_.connection_limits.accepted));
+  listener_ = std::move(contact->listener);
+  open_link(std::move(contact->socket));
+  if (!contact->welcome)
+    return;
+  apply_cordons(contact->welcome->cordons());
+  carry_out(ownership_.on_welcome());
+}
+
+void IncomingProcess::open_link(transport::ObjectPtr<GSocket> socket) {
+  predecessor_.open(
+      std::move(socket), [this](Packet packet) { on_packet(std::move(packet)); },
+      [this] {
+        on_link_ended();
+        carry_out(ownership_.on_link_ended());
+      });
+}
+
+void IncomingProcess::on_packet(Packet packet) {
+  std::optional<Message> message = read_message(packet.bytes);
+  if (!message)
+    return on_invalid_message();
+  if (SharedEvents::is_shared(*message))
+    return shared_events_.on_message(predecessor_, *message);
+  switch (message->kind_case()) {
+    case Message::kWelcome:
+      return on_welcome(message->welcome(), std::move(packet));
+    case Message::kRejection:
+      return carry_out(ownership_.on_rejection());
+    case Message::kOwnershipTransfer:
+      return on_ownership_transfer(message->ownership_transfer(), std::move(packet));
+    case Message::kAdoptedRequest:
+      return on_adopted_request(message->adopted_request(), std::move(packet));
+    case Message::kReleasedConnection:
+      return on_released_connection(message->released_connection(), std::move(packet));
+    default:
+      return on_invalid_message();
+  }
+}
+
+void IncomingProcess::on_welcome(const Welcome& welcome, Packet packet) {
+  if (packet.descriptors.size() != 1)
+    return on_invalid_message();
+  listener_ = std::move(packet.descriptors[0]);
+  apply_cordons(welcome.cordons());
+  carry_out(ownership_.on_welcome());
+}
+
+void IncomingProcess::on_ownership_transfer(const OwnershipTransfer& transfer, Packet packet) {
+  if (!packet.descriptors.empty())
+    inherited_fleet_.socket = std::move(packet.descriptors[0]);
+  inherited_fleet_.incarnation = transfer.incarnation();
+  std::ranges::move(read_members(transfer), std::back_inserter(inherited_fleet_.members));
+  Action action = ownership_.on_ownership_transfer();
+  if (action != Action::Serve)
+    return carry_out(action);
+  context_.program.router().elsewhere(
+      {transfer.request_ids().begin(), transfer.request_ids().end()});
+  apply_cordons(transfer.cordons());
+  limit_use_of_workers();
+  std::size_t held_there = transfer.accepted_connections();
+  std::size_t max_accepted = options_.connection_limits.accepted;
+  set_accepted_limit(std::max(kMinAccepted, max_accepted - std::min(max_accepted, held_there)));
+  context_.log.line("upgrade", "takes over; the other process holds " + std::to_string(held_there) +
+                                   " connections");
+  carry_out(action);
+}
+
+// What the outgoing process has sent to workers that are warming up, and used of the retry budget,
+// is not known here. It counts for one window, so this process waits for that long.
+void IncomingProcess::limit_use_of_workers() {
+  ServingProgram& program = context_.program;
+  transport::Time now = context_.clock.now();
+  program.apply_endpoint_update(program.cordon_list().hold_cold(now - options_.slow_start));
+  if (options_.retry_budget_window.count() > 0) {
+    program.limit_retry_budget(RetryBudgetLimit::WithoutFreePart);
+    context_.deadlines.add(now + options_.retry_budget_window, [this] {
+      if (!callbacks_.has_transferred_ownership())
+        context_.program.limit_retry_budget(RetryBudgetLimit::Unlimited);
+    });
+  }
+  context_.deadlines.add(now + options_.overload_window, [this] {
+    if (callbacks_.has_transferred_ownership())
+      return;
+    ServingProgram& later = context_.program;
+    later.apply_endpoint_update(later.cordon_list().hold_cold(std::nullopt));
+  });
+}
+
+void IncomingProcess::on_released_connection(const ReleasedConnection& connection, Packet packet) {
+  if (packet.descriptors.size() != 1 || !is_serving())
+    return on_invalid_message();
+  set_accepted_limit(std::min(accepted_limit_ + 1, options_.connection_limits.accepted));
+  if (auto slot = context_.network.adopt(std::move(packet.descriptors[0])))
+    context_.program.client_server().adopt(*slot, connection.unread(), connection.used());
+}
+
+void IncomingProcess::on_adopted_request(const AdoptedRequest& request, Packet packet) {
+  if (packet.descriptors.size() != 1 || !is_serving())
+    return on_invalid_message();
+  if (auto slot = context_.network.adopt(std::move(packet.descriptors[0])))
+    context_.program.adopted_requests().adopt(request, *slot);
+}
+
+void IncomingProcess::carry_out(Action action) {
+  switch (action) {
+    case Action::None:
+      return;
+    case Action::SendReady:
+      return predecessor_.send(make_ready());
+    case Action::Serve:
+    case Action::ServeAlone:
+      return serve();
+    case Action::CloseLink:
+      return close_link();
+    case Action::AskAgain:
+      context_.deadlines.add(context_.clock.now() + kAskAgainDelay, [this] { ask_again(); });
+      return;
+  }
+}
+
+void IncomingProcess::close_link() {
+  context_.log.line("upgrade", "the other process said what makes no sense");
+  predecessor_.close();
+  carry_out(ownership_.on_link_ended());
+}
+
+// The outgoing process may have closed the link and live: only where nobody listens any more is it
+// dead.
+void IncomingProcess::ask_again() {
+  auto socket = transport::connect_local(options_.socket_path);
+  if (!socket)
+    return carry_out(ownership_.on_no_listener());
+  transport::send_packet(socket.get(), hello_packet(options_.identity));
+  open_link(std::move(socket));
+}
+
+// Accepts connections in the same turn of the loop as the health check begins to answer yes.
+void IncomingProcess::serve() {
+  transport::Acceptor& acceptor = context_.program.client_server();
+  if (listener_)
+    context_.network.share_listener(std::move(listener_), acceptor);
+  if (!context_.network.listener())
+    context_.network.listen(options_.identity.listen, acceptor, true);
+  context_.network.accept_from_now_on(true);
+  context_.program.set_serving(true);
+  options_.start_fleet_socket(std::move(inherited_fleet_));
+  if (!predecessor_.is_up())
+    on_link_ended();
+  callbacks_.on_serving();
+}
+
+void IncomingProcess::on_link_ended() {
+  shared_events_.fail_forwarded();
+  if (is_serving())
+    lift_connection_limits();
+}
+
+void IncomingProcess::lift_connection_limits() {
+  accepted_limit_ = options_.connection_limits.accepted;
+  context_.network.limit(options_.connection_limits);
+}
+
+void IncomingProcess::set_accepted_limit(std::size_t limit) {
+  accepted_limit_ = limit;
+  context_.network.limit(options_.shared_limits(limit));
+}
+
+void IncomingProcess::apply_cordons(const CordonRecords& records) {
+  ServingProgram& program = context_.program;
+  program.apply_endpoint_update(program.cordon_list().inherit(read_cordons(records)));
+}
+
+}  // namespace dispatcher::hot_restart
--- a/src/hot_restart/ownership.cpp
+++ b/src/hot_restart/ownership.cpp
@@ -2,74 +2,74 @@
 
 namespace dispatcher::hot_restart {
 
-OutgoingProcess::Do OutgoingProcess::hello(std::uint32_t version, const Who& who) {
+OutgoingOwnership::Action OutgoingOwnership::on_hello(std::uint32_t version,
+                                                      const DispatcherIdentity& other) {
   if (state_ != State::Alone)
-    return nonsense();
-  if (version != kVersion || who != self_)
-    return Do::Refuse;
-  state_ = State::Courted;
-  return Do::Welcome;
+    return on_invalid_message();
+  if (version != kProtocolVersion || other != self_)
+    return Action::SendRejection;
+  state_ = State::Introduced;
+  return Action::SendWelcome;
 }
 
-OutgoingProcess::Do OutgoingProcess::ready() {
-  if (state_ != State::Courted)
-    return nonsense();
-  state_ = State::Yielded;
-  return Do::Yield;
+OutgoingOwnership::Action OutgoingOwnership::on_ready() {
+  if (state_ != State::Introduced)
+    return on_invalid_message();
+  state_ = State::Transferred;
+  return Action::TransferOwnership;
 }
 
-// Once it has yielded the other one serves, and hanging up would make two that do: what cannot be
-// read is left alone then, and only the end of the link says that the other one is dead.
-OutgoingProcess::Do OutgoingProcess::nonsense() {
-  if (state_ == State::Yielded)
-    return Do::Nothing;
+// After the transfer the other process serves, and closing the link would make both serve: an
+// unreadable message is ignored then, and only the end of the link says that the other is dead.
+OutgoingOwnership::Action OutgoingOwnership::on_invalid_message() {
+  if (state_ == State::Transferred)
+    return Action::None;
   state_ = State::Alone;
-  return Do::HangUp;
+  return Action::CloseLink;
 }
 
-OutgoingProcess::Do OutgoingProcess::ended() {
-  State was = state_;
-  state_ = State::Alone;
-  return was == State::Yielded ? Do::TakeBack : Do::Nothing;
+OutgoingOwnership::Action OutgoingOwnership::on_link_ended() {
+  State previous = std::exchange(state_, State::Alone);
+  return previous == State::Transferred ? Action::Reclaim : Action::None;
 }
 
-IncomingProcess::Do IncomingProcess::welcome() {
+IncomingOwnership::Action IncomingOwnership::on_welcome() {
   if (state_ != State::Asking)
-    return nonsense();
-  state_ = State::Expected;
-  return Do::SayReady;
+    return on_invalid_message();
+  state_ = State::AwaitTransfer;
+  return Action::SendReady;
 }
 
-IncomingProcess::Do IncomingProcess::refused() {
+IncomingOwnership::Action IncomingOwnership::on_rejection() {
   if (state_ == State::Serving)
-    return Do::Nothing;
+    return Action::None;
   state_ = State::Serving;
-  return Do::ServeAlone;
+  return Action::ServeAlone;
 }
 
-IncomingProcess::Do IncomingProcess::yours() {
-  if (state_ != State::Expected)
-    return nonsense();
+IncomingOwnership::Action IncomingOwnership::on_ownership_transfer() {
+  if (state_ != State::AwaitTransfer)
+    return on_invalid_message();
   state_ = State::Serving;
-  return Do::Serve;
+  return Action::Serve;
 }
 
-IncomingProcess::Do IncomingProcess::nonsense() {
-  return state_ == State::Serving ? Do::Nothing : Do::HangUp;
+IncomingOwnership::Action IncomingOwnership::on_invalid_message() {
+  return state_ == State::Serving ? Action::None : Action::CloseLink;
 }
 
-IncomingProcess::Do IncomingProcess::ended() {
+IncomingOwnership::Action IncomingOwnership::on_link_ended() {
   if (state_ == State::Serving)
-    return Do::Nothing;
+    return Action::None;
   state_ = State::Asking;
-  return Do::AskAgain;
+  return Action::AskAgain;
 }
 
-IncomingProcess::Do IncomingProcess::nobody() {
+IncomingOwnership::Action IncomingOwnership::on_no_listener() {
   if (state_ == State::Serving)
-    return Do::Nothing;
+    return Action::None;
   state_ = State::Serving;
-  return Do::ServeAlone;
+  return Action::ServeAlone;
 }
 
 }  // namespace dispatcher::hot_restart
--- /dev/null
+++ b/src/hot_restart/process_context.h
@@ -0,0 +1,51 @@
+// What both sides of a hot restart work with.
+#pragma once
+
+#include <functional>
+#include <string>
+#include <vector>
+
+#include "hot_restart/ownership.h"
+#include "hot_restart/serving_program.h"
+#include "operations/log.h"
+#include "transport/deadlines.h"
+#include "transport/gio_network.h"
+
+namespace dispatcher::hot_restart {
+
+// What the incoming process takes over for its talk with the rest of the fleet. Empty if there was
+// no outgoing process.
+struct InheritedFleetState {
+  transport::Descriptor socket;
+  std::uint32_t incarnation = 0;  // 0: none
+  std::vector<fleet::MembershipView::Entry> members;
+};
+
+struct Options {
+  std::string socket_path;  // of the local socket at which the other process is found
+  DispatcherIdentity identity;
+  transport::GioNetwork::Limits connection_limits;  // of one process that is alone
+  transport::Duration wall_to_steady{0};
+  transport::Duration overload_window{0};
+  transport::Duration slow_start{0};
+  transport::Duration retry_budget_window{0};  // 0: there is no retry budget
+  // Starts the talk with the other dispatchers.
+  std::function<void(InheritedFleetState)> start_fleet_socket;
+
+  // While there may be two processes, each connects to workers with half of the descriptors.
+  transport::GioNetwork::Limits shared_limits(std::size_t accepted) const {
+    return {accepted, connection_limits.connected / 2};
+  }
+};
+
+// The referenced objects outlive both sides.
+struct ProcessContext {
+  GMainContext* main_context;
+  ServingProgram& program;
+  transport::GioNetwork& network;
+  transport::Deadlines& deadlines;
+  const transport::Clock& clock;
+  operations::Log& log;
+};
+
+}  // namespace dispatcher::hot_restart
--- /dev/null
+++ b/src/hot_restart/protocol.h
@@ -0,0 +1,51 @@
+// Reading and writing of the messages between the two processes of a hot restart
+// (proto/hot_restart.proto).
+#pragma once
+
+#include <map>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "fleet/membership_view.h"
+#include "hot_restart.pb.h"
+#include "hot_restart/ownership.h"
+#include "operations/cordon_list.h"
+#include "protocol/messages.h"
+
+namespace dispatcher::hot_restart {
+
+using CordonRecords = google::protobuf::RepeatedPtrField<CordonRecord>;
+using CordonsByUid = std::map<std::string, operations::CordonList::ByHand>;
+
+// Nothing: `bytes` are no message.
+std::optional<Message> read_message(const std::string& bytes);
+
+Message make_hello(const DispatcherIdentity& self);
+Message make_rejection(const std::string& reason);
+Message make_ready();
+Message make_released_connection(std::string unread, bool used);
+Message make_request_accepted(scheduling::RequestId id);
+Message make_job_event_forward(std::uint64_t number, std::string_view body);
+Message make_job_event_receipt(std::uint64_t number, bool retry);
+Message make_cordon_call(const std::string& uid, bool cordoned);
+
+// The endpoint list and the cordons as `cordon_list` has them.
+Message make_welcome(scheduling::Duration wall_to_steady, const operations::CordonList& cordon_list,
+                     const protocol::IdentifierTables& identifiers);
+// Entries without uid or address are left out; a name that `identifiers` lacks becomes -1.
+protocol::EndpointUpdate read_endpoints(const Welcome& welcome,
+                                        const protocol::IdentifierTables& identifiers);
+
+void write_cordons(const operations::CordonList& cordon_list, CordonRecords& records);
+CordonsByUid read_cordons(const CordonRecords& records);
+
+void write_members(const fleet::MembershipView& view, OwnershipTransfer& transfer);
+// Members with an unreadable address or an unknown state are left out.
+std::vector<fleet::MembershipView::Entry> read_members(const OwnershipTransfer& transfer);
+
+// Milliseconds of the steady clock.
+double to_milliseconds(scheduling::Time time);
+scheduling::Time from_milliseconds(double milliseconds);
+
+}  // namespace dispatcher::hot_restart
--- /dev/null
+++ b/src/hot_restart/shared_events.cpp
@@ -0,0 +1,100 @@
+#include "hot_restart/shared_events.h"
+
+#include "hot_restart/protocol.h"
+
+namespace dispatcher::hot_restart {
+
+SharedEvents::SharedEvents(ServingProgram& program, ProcessLink& predecessor,
+                           ProcessLink& successor, operations::Log& log)
+    : program_(program), predecessor_(predecessor), successor_(successor), log_(log) {
+  program_.client_server().forward_job_events(
+      [this](std::string_view body, std::function<void(bool)> notify) {
+        return forward_job_event(body, std::move(notify));
+      });
+  program_.on_cordon_call([this](const std::string& uid, bool cordoned) {
+    send_to_all(make_cordon_call(uid, cordoned));
+  });
+  program_.router().on_request_accepted([this](scheduling::RequestId id) {
+    if (predecessor_.is_up() || successor_.is_up())
+      send_to_all(make_request_accepted(id));
+  });
+}
+
+bool SharedEvents::is_shared(const Message& message) {
+  switch (message.kind_case()) {
+    case Message::kRequestAccepted:
+    case Message::kJobEventForward:
+    case Message::kJobEventReceipt:
+    case Message::kCordonCall:
+      return true;
+    default:
+      return false;
+  }
+}
+
+void SharedEvents::on_message(ProcessLink& sender, const Message& message) {
+  if (message.has_request_accepted()) {
+    program_.router().elsewhere({message.request_accepted().id()});
+  } else if (message.has_job_event_receipt()) {
+    const JobEventReceipt& receipt = message.job_event_receipt();
+    on_receipt(receipt.number(), !receipt.retry());
+  } else if (message.has_cordon_call()) {
+    program_.apply_cordon(message.cordon_call().uid(), message.cordon_call().cordoned());
+    ProcessLink& other = &sender == &predecessor_ ? successor_ : predecessor_;
+    other.send(message);
+  } else {
+    on_job_event(sender, message.job_event_forward());
+  }
+}
+
+void SharedEvents::on_job_event(ProcessLink& sender, const JobEventForward& forward) {
+  bool retry = false;
+  try {
+    protocol::JobEvent event = protocol::parse_job_event(forward.body(), program_.identifiers());
+    // A job event may cross with the release of its request: neither process knows the request
+    // then, and the result would be lost.
+    retry = released_.contains(event.id);
+    if (!retry)
+      program_.client_server().on_job_event(std::move(event));
+  } catch (const protocol::Refused& error) {
+    log_.line("upgrade", std::string("a call-back from the other process: ") + error.what());
+  }
+  sender.send(make_job_event_receipt(forward.number(), retry));
+}
+
+// False: there is no other process.
+bool SharedEvents::forward_job_event(std::string_view body, std::function<void(bool)> notify) {
+  int receipts_awaited = (predecessor_.is_up() ? 1 : 0) + (successor_.is_up() ? 1 : 0);
+  if (receipts_awaited == 0)
+    return false;
+  ++last_number_;
+  forwarded_.emplace(last_number_, ForwardedJobEvent{receipts_awaited, std::move(notify)});
+  send_to_all(make_job_event_forward(last_number_, body));
+  return true;
+}
+
+void SharedEvents::on_receipt(std::uint64_t number, bool received) {
+  auto it = forwarded_.find(number);
+  if (it == forwarded_.end())
+    return;
+  if (received && --it->second.receipts_awaited > 0)
+    return;
+  auto notify = std::move(it->second.notify);
+  forwarded_.erase(it);
+  notify(received);
+}
+
+void SharedEvents::fail_forwarded() {
+  for (auto it = forwarded_.begin(); it != forwarded_.end();) {
+    std::uint64_t number = it->first;
+    ++it;  // on_receipt() erases the element
+    on_receipt(number, false);
+  }
+}
+
+void SharedEvents::send_to_all(const Message& message) {
+  predecessor_.send(message);
+  successor_.send(message);
+}
+
+}  // namespace dispatcher::hot_restart
--- a/src/program/app.cpp
+++ b/src/program/app.cpp
@@ -3,86 +3,113 @@
 #include <algorithm>
 
 namespace dispatcher::program {
-namespace {
 
+using hot_restart::RetryBudgetLimit;
 using scheduling::Duration;
 using scheduling::EndpointUpdateKind;
 
-// A client's connection holds a message being read, one being answered and its command: a quarter
+namespace {
+
+// A client's connection holds a message being read, one being answered and its request: a quarter
 // of a megabyte at most.
-constexpr std::size_t kConnectionsAMegabyte = 4;
-constexpr Duration kStillComing{500};  // new connections may come for this long after SIGTERM
-constexpr Duration kDrainStep{20};
-constexpr Duration kLongestWatch{2500};  // the sum it stands in is told in http_names.cpp
-constexpr Duration kLongestCounted{
-    3000};  // SIGKILL follows SIGTERM after the longest deadline, counted at most so
-constexpr Duration kBeforeKill{
-    400};  // what is open then is answered this long after that deadline, to be
-           // done before SIGKILL, which comes 700 ms after it
-constexpr double kServedOn =
-    0.6;  // of that time connections are kept; the rest is for what is open
-constexpr Duration kFarewell{200};  // then, for the last bytes to be taken
-
-WorkerClient::Times instance_times(const Config& c) {
-  WorkerClient::Times t;
-  if (c.settings.connect_timeout)
-    t.connect = *c.settings.connect_timeout;
-  t.probe = std::max(Duration(100), 2 * t.connect);
-  if (c.conn_idle.count() > 0)
-    t.idle = c.conn_idle * 0.5;
-  t.reports = c.settings.reports != scheduling::LoadReportMode::Off;
-  return t;
+constexpr std::size_t kConnectionsPerMegabyte = 4;
+
+// The longest a watch call may wait at discovery; see http/discovery_client.cpp.
+constexpr Duration kMaxWatchWait{2500};
+constexpr Duration kMinHealthCheckTimeout{100};
+
+// Graceful shutdown. SIGKILL follows SIGTERM 700 ms after the longest request deadline, of which at
+// most kMaxCountedDeadline counts. What is still open kAnswerMargin after that deadline is answered
+// then.
+constexpr Duration kMaxCountedDeadline{3000};
+constexpr Duration kAnswerMargin{400};
+constexpr Duration kNewConnectionsPeriod{500};  // clients may still connect this long after SIGTERM
+constexpr double kKeepConnectionsFraction = 0.6;  // of the shutdown; then idle ones are closed
+constexpr Duration kLastBytesPeriod{200};         // for the last answers to be read
+constexpr Duration kDrainInterval{20};
+
+WorkerClient::Times worker_times(const Config& config) {
+  WorkerClient::Times times;
+  if (config.settings.connect_timeout)
+    times.connect = *config.settings.connect_timeout;
+  times.probe = std::max(kMinHealthCheckTimeout, 2 * times.connect);
+  if (config.conn_idle.count() > 0)
+    times.idle = config.conn_idle * 0.5;
+  times.reports = config.settings.reports != scheduling::LoadReportMode::Off;
+  return times;
 }
 
-DiscoveryClient::Options name_options(const Config& c) {
-  DiscoveryClient::Options o;
-  o.address = c.discovery;
-  // A silent discovery is noticed when a wait is over. Watches that fall silent together, all those
-  // of a fleet, must not be opened anew together: discovery works through calls one by one. So
-  // waits differ.
-  o.wait =
-      kLongestWatch * (0.5 + 0.5 * (c.settings.index + 0.5) / std::max(1, c.settings.dispatchers));
-  o.retries = !c.settings.watch_required;
-  return o;
+DiscoveryClient::Options discovery_options(const Config& config) {
+  DiscoveryClient::Options options;
+  options.address = config.discovery;
+  // A silent discovery is noticed when a wait is over. The dispatchers of a fleet must not all open
+  // their watches anew at the same time, as discovery works through calls one by one: so each has
+  // another wait.
+  double position = (config.settings.index + 0.5) / std::max(1, config.settings.dispatchers);
+  options.wait = kMaxWatchWait * (0.5 + 0.5 * position);
+  options.retries = !config.settings.watch_required;
+  return options;
 }
 
-std::optional<Streaming> streaming_of(const features::Features& all) {
-  if (!all.has_streaming())
+std::optional<Streaming> streaming_options(const features::Features& features) {
+  if (!features.has_streaming())
     return std::nullopt;
-  const features::Streaming& f = all.streaming();
-  Streaming s;
-  s.most_body = f.most_body_bytes();
-  s.replay_bytes = f.replay_bytes();
-  s.stall = Duration(f.stall_ms());
-  s.longest = Duration(f.longest_transfer_ms());
-  s.budget = std::make_shared<streaming::Budget>(std::size_t{f.memory_ceiling_mb()} << 20,
-                                                 std::size_t{f.window_kb()} << 10);
-  return s;
+  const features::Streaming& feature = features.streaming();
+  Streaming options;
+  options.most_body = feature.most_body_bytes();
+  options.replay_bytes = feature.replay_bytes();
+  options.stall = Duration(feature.stall_ms());
+  options.longest = Duration(feature.longest_transfer_ms());
+  options.budget = std::make_shared<streaming::Budget>(
+      std::size_t{feature.memory_ceiling_mb()} << 20, std::size_t{feature.window_kb()} << 10);
+  return options;
 }
 
-std::vector<scheduling::WorkerEntry> entries_of(const protocol::EndpointUpdate& list) {
+std::vector<scheduling::WorkerEntry> entries_of(const protocol::EndpointUpdate& update) {
   std::vector<scheduling::WorkerEntry> entries;
-  for (const protocol::WorkerEndpoint& l : list.entries) {
-    entries.push_back(l.entry);
-    entries.back().worker = l.uid;
+  for (const protocol::WorkerEndpoint& endpoint : update.entries) {
+    entries.push_back(endpoint.entry);
+    entries.back().worker = endpoint.uid;
   }
   return entries;
 }
 
+// Names of the fixed settings that differ, separated by commas.
+std::string changed_fixed_settings(const std::map<std::string, std::string>& now,
+                                   const std::map<std::string, std::string>& next) {
+  std::string names;
+  for (const auto& [field, text] : next) {
+    auto it = now.find(field);
+    if (it == now.end() ? text.empty() : it->second == text)
+      continue;
+    names += (names.empty() ? "" : ", ") + field;
+  }
+  return names;
+}
+
+Duration longest_deadline(const scheduling::Settings& settings) {
+  Duration longest{0};
+  for (const auto& job_class : settings.classes)
+    longest = std::max(longest, job_class.deadline);
+  return longest;
+}
+
 }  // namespace
 
-// Clients get the larger part, yet never what workers and discovery need, nor more connections
-// than could all be full at once in the memory there is. Of the commands there are fewer, so that
-// call-backs always find a connection.
-Shares share_descriptors(const Config& c) {
-  Shares s{std::min(c.sockets * 3 / 4, c.memory_mb * kConnectionsAMegabyte), c.sockets * 3 / 16, 0,
-           0};
-  s.operators = c.ops.empty() ? 0 : std::clamp<std::size_t>(c.sockets / 16, 8, 64);
-  s.accepted -= std::min(s.operators, s.accepted / 4);
-  s.commands = s.accepted * 9 / 10;
-  if (c.most_open > 0)
-    s.commands = std::min(s.commands, c.most_open);
-  return s;
+// Clients get the larger part, but not what workers and discovery need, and not more connections
+// than could all be full at once in the memory there is. There are fewer open requests than
+// connections, so that workers' job events always find a connection.
+Shares share_descriptors(const Config& config) {
+  Shares shares{
+      .accepted = std::min(config.sockets * 3 / 4, config.memory_mb * kConnectionsPerMegabyte),
+      .connected = config.sockets * 3 / 16,
+      .commands = 0,
+      .operators = config.ops.empty() ? 0 : std::clamp<std::size_t>(config.sockets / 16, 8, 64)};
+  shares.accepted -= std::min(shares.operators, shares.accepted / 4);
+  shares.commands = shares.accepted * 9 / 10;
+  if (config.most_open > 0)
+    shares.commands = std::min(shares.commands, config.most_open);
+  return shares;
 }
 
 App::App(Config config, const features::Features& features, transport::Network& network,
@@ -91,221 +118,237 @@
       deadlines_(deadlines),
       clock_(clock),
       log_(log),
-      streaming_(streaming_of(features)),
-      front_({network, deadlines, clock, config_.words, log, metrics_}, streaming_),
-      workers_({network, deadlines, clock, config_.words, log, metrics_}, instance_times(config_),
+      streaming_(streaming_options(features)),
+      client_server_({network, deadlines, clock, config_.words, log, metrics_}, streaming_),
+      workers_({network, deadlines, clock, config_.words, log, metrics_}, worker_times(config_),
                streaming_),
-      names_({network, deadlines, clock, config_.words, log, metrics_}, name_options(config_)),
+      discovery_({network, deadlines, clock, config_.words, log, metrics_},
+                 discovery_options(config_)),
       router_(config_.settings, share_descriptors(config_).commands, clock, deadlines,
-              {front_, workers_, names_}, metrics_,
+              {client_server_, workers_, discovery_}, metrics_,
               [&log](const std::string& text) { log.line("module", text); }),
-      wards_(front_, workers_, {network, deadlines, clock, config_.words, log, metrics_}) {
-  front_.attach(router_);
+      adopted_requests_(client_server_, workers_,
+                        {network, deadlines, clock, config_.words, log, metrics_}) {
+  client_server_.attach(router_);
   workers_.attach(router_);
-  names_.attach([this](EndpointUpdateKind kind, const protocol::EndpointUpdate& list) {
-    on_endpoint_update(kind, list);
+  discovery_.attach([this](EndpointUpdateKind kind, const protocol::EndpointUpdate& update) {
+    on_endpoint_update(kind, update);
   });
 }
 
 void App::trace() {
-  auto line = [this](const std::string& text) {
+  auto write_line = [this](const std::string& text) {
     log_.trace(text);
   };
-  router_.trace(line);
-  names_.trace(line);
+  router_.trace(write_line);
+  discovery_.trace(write_line);
 }
 
-void App::talk_to(FleetSocket& peers) {
-  peers_ = &peers;
-  peers.attach(router_);
-  router_.talk_to(peers);
-  tell_peers();
+void App::talk_to(FleetSocket& fleet_socket) {
+  fleet_socket_ = &fleet_socket;
+  fleet_socket.attach(router_);
+  router_.talk_to(fleet_socket);
+  announce_workers();
 }
 
-// After the scheduler has heard of them.
-void App::tell_peers() {
-  if (!peers_)
+// Call after the scheduler knows them.
+void App::announce_workers() {
+  if (!fleet_socket_)
     return;
-  std::vector<std::string> names;
-  for (const auto& [uid, l] : roster_.listed())
-    names.push_back(uid);
-  peers_->list(names);
+  std::vector<std::string> uids;
+  for (const auto& [uid, endpoint] : cordon_list_.listed())
+    uids.push_back(uid);
+  fleet_socket_->list(uids);
 }
 
 void App::start() {
   protocol::EndpointUpdate known =
-      roster_.apply(config_.known.value_or(protocol::EndpointUpdate{0, true, {}}));
+      cordon_list_.apply(config_.known.value_or(protocol::EndpointUpdate{0, true, {}}));
   workers_.update(known);
   if (!known.entries.empty())
-    names_.hold(known.revision);
+    discovery_.hold(known.revision);
   router_.start(entries_of(known));
   workers_.recall();
-  tell_peers();
-  // Where lists are pushed, what the agent has counts as told from the first moment, and the list
-  // of before may be old: clients come once it has answered, or cannot.
+  announce_workers();
+  // Where lists are pushed, the cached list counts from the first moment. Otherwise it may be old,
+  // and clients come once discovery has answered, or cannot.
   if (!known.entries.empty() && config_.settings.watch_required)
-    front_.set_ready();
+    client_server_.set_ready();
   if (!config_.settings.watch_required)
-    names_.watch();
+    discovery_.watch();
   log_.line("start", config_.name + " listens on " + config_.listen + ", knows " +
                          std::to_string(known.entries.size()) + " instances");
 }
 
-void App::on_endpoint_update(EndpointUpdateKind kind, const protocol::EndpointUpdate& news) {
+void App::on_endpoint_update(EndpointUpdateKind kind, const protocol::EndpointUpdate& update) {
   if (kind == EndpointUpdateKind::Failed) {
-    if (!roster_.listed().empty())
-      front_.set_ready();
+    if (!cordon_list_.listed().empty())
+      client_server_.set_ready();
     return router_.on_endpoint_update(kind, {});
   }
-  protocol::EndpointUpdate list = roster_.apply(news);
-  workers_.update(list);
-  front_.set_ready();
-  router_.on_endpoint_update(kind, entries_of(list));
+  protocol::EndpointUpdate visible = cordon_list_.apply(update);
+  workers_.update(visible);
+  client_server_.set_ready();
+  router_.on_endpoint_update(kind, entries_of(visible));
   workers_.recall();
-  tell_peers();
+  announce_workers();
 }
 
-// ---- The operators' calls ----
+void App::apply_endpoint_update(const protocol::EndpointUpdate& update) {
+  if (update.entries.empty())
+    return;
+  workers_.update(update);
+  router_.on_endpoint_update(EndpointUpdateKind::Delta, entries_of(update));
+  workers_.recall();
+}
+
+// ---- Operators' calls ----
 
 bool App::healthy() const {
-  return front_.ready() && serves_;
+  return client_server_.ready() && serving_;
 }
 
 std::string App::stats() {
-  auto avoided = std::ranges::count_if(roster_.listed(),
-                                       [this](const auto& l) { return router_.avoids(l.first); });
+  auto avoided = std::ranges::count_if(
+      cordon_list_.listed(), [this](const auto& listed) { return router_.avoids(listed.first); });
   return operations::write_stats(
       metrics_, config_.words.classes,
-      {router_.open_requests() + wards_.size(), roster_.listed().size(),
-       static_cast<std::size_t>(avoided), peers_ ? peers_->metrics() : std::nullopt});
+      {router_.open_requests() + adopted_requests_.size(), cordon_list_.listed().size(),
+       static_cast<std::size_t>(avoided), fleet_socket_ ? fleet_socket_->metrics() : std::nullopt});
 }
 
-void App::hear(const protocol::EndpointUpdate& heard) {
-  if (heard.entries.empty())
-    return;
-  workers_.update(heard);
-  router_.on_endpoint_update(EndpointUpdateKind::Delta, entries_of(heard));
-  workers_.recall();
+std::string App::fleet() const {
+  return fleet_socket_ ? fleet_socket_->view_json() : std::string();
 }
 
-bool App::by_hand(const std::string& worker, bool out) {
-  auto heard = out ? roster_.cordon(worker, clock_.now()) : roster_.uncordon(worker, clock_.now());
-  if (heard)
-    hear(*heard);
-  return heard.has_value();
+bool App::apply_cordon(const std::string& worker, bool cordoned) {
+  auto update = cordoned ? cordon_list_.cordon(worker, clock_.now())
+                         : cordon_list_.uncordon(worker, clock_.now());
+  if (update)
+    apply_endpoint_update(*update);
+  return update.has_value();
 }
 
-bool App::cordon(const std::string& worker) {
-  bool known = by_hand(worker, true);
-  if (known && tell_by_hand_)
-    tell_by_hand_(worker, true);
+bool App::call_cordon(const std::string& worker, bool cordoned) {
+  bool known = apply_cordon(worker, cordoned);
+  if (known && on_cordon_call_)
+    on_cordon_call_(worker, cordoned);
   return known;
 }
 
+bool App::cordon(const std::string& worker) {
+  return call_cordon(worker, true);
+}
+
 bool App::uncordon(const std::string& worker) {
-  bool known = by_hand(worker, false);
-  if (known && tell_by_hand_)
-    tell_by_hand_(worker, false);
-  return known;
+  return call_cordon(worker, false);
 }
 
-// The settings hold for the commands to come; open ones, what the scheduler has learned, and the
-// name table stay. Only what the program was built with stays as it is until a restart.
+// ---- Reload ----
+
 void App::reload(Config next) {
-  std::string kept;
-  for (const auto& [field, text] : next.fixed) {
-    if (config_.fixed[field] != text)
-      kept += (kept.empty() ? "" : ", ") + field;
-  }
-  bool moved = next.discovery != config_.discovery;
-  bool retuned = next.file["settings"] != config_.file["settings"];
+  bool discovery_moved = next.discovery != config_.discovery;
+  bool settings_changed = next.file["settings"] != config_.file["settings"];
   keep_numbers(config_, next);
+  log_reload(next, settings_changed);
   config_.settings = std::move(next.settings);
-  if (retuned)
-    limit_budget(budget_);
+  if (settings_changed)
+    limit_retry_budget(retry_budget_limit_);
   config_.words = std::move(next.words);
   config_.conn_idle = next.conn_idle;
   config_.file = std::move(next.file);
-  if (retuned)
-    workers_.retime(instance_times(config_));
+  if (settings_changed)
+    workers_.retime(worker_times(config_));
   ++metrics_.cfg_accepted;
-  log_.line("reload", std::string("configuration read; ") + (retuned ? "new settings; " : "") +
-                          "discovery " +
-                          (moved ? "moves to " + next.discovery : "stays at " + config_.discovery) +
-                          (kept.empty() ? "" : "; changed, but needs a restart: " + kept));
   config_.discovery = next.discovery;
-  if (moved)
-    names_.move(next.discovery);
+  if (discovery_moved)
+    discovery_.move(next.discovery);
+}
+
+void App::log_reload(const Config& next, bool settings_changed) const {
+  bool discovery_moved = next.discovery != config_.discovery;
+  std::string text = "configuration read; ";
+  text += settings_changed ? "new settings; " : "";
+  text += "discovery ";
+  text += discovery_moved ? "moves to " + next.discovery : "stays at " + config_.discovery;
+  std::string kept = changed_fixed_settings(config_.fixed, next.fixed);
+  text += kept.empty() ? "" : "; changed, but needs a restart: " + kept;
+  log_.line("reload", text);
 }
 
-void App::limit_budget(Budget to) {
-  budget_ = to;
-  scheduling::Settings s = config_.settings;
-  if (s.retry_budget_window && to != Budget::Whole)
-    s.retry_budget_free = 0;
-  if (s.retry_budget_window && to == Budget::None)
-    s.retry_budget_ratio = 0;
-  router_.apply_settings(s);
+void App::limit_retry_budget(RetryBudgetLimit limit) {
+  retry_budget_limit_ = limit;
+  scheduling::Settings settings = config_.settings;
+  if (settings.retry_budget_window && limit != RetryBudgetLimit::Unlimited)
+    settings.retry_budget_free = 0;
+  if (settings.retry_budget_window && limit == RetryBudgetLimit::NoRetries)
+    settings.retry_budget_ratio = 0;
+  router_.apply_settings(settings);
 }
 
-void App::reload_failed(const std::string& why) {
+void App::reload_failed(const std::string& reason) {
   ++metrics_.cfg_invalid;
-  log_.line("reload", "the old configuration is kept: " + why);
+  log_.line("reload", "the old configuration is kept: " + reason);
 }
 
+// ---- Graceful shutdown ----
+
 void App::terminate() {
-  if (terminated_)
+  if (terminated_at_)
     return;
-  terminated_ = clock_.now();
+  terminated_at_ = clock_.now();
   log_.line("stop",
             "asked to end; " + std::to_string(router_.open_requests()) + " commands are open");
-  front_.start_draining();
-  if (peers_)
-    peers_->leave();
+  client_server_.start_draining();
+  if (fleet_socket_)
+    fleet_socket_->leave();
   drain();
 }
 
-// Serves on as if nothing had come, and ends when the clients have gone. Guards clients in a
-// rolling restart: they use the connections they have, and where those are closed at once, the only
-// other dispatcher may still be on its way up. Then their connections are closed so that they move
-// on; what is open finishes, or is answered shortly before SIGKILL would come.
+// Serves on as before and ends when the clients have gone: in a rolling restart the only other
+// dispatcher may still be starting, and closed connections would leave clients without any. Later
+// idle connections are closed so that clients move on; what is open finishes, or is answered
+// shortly before SIGKILL would come.
 void App::drain() {
-  Duration longest{0};
-  for (const auto& c : config_.settings.classes)
-    longest = std::max(longest, c.deadline);
-  Duration since = clock_.now() - *terminated_;
-  Duration time = std::min(longest, kLongestCounted) + kBeforeKill;
-  bool last_call = since >= time;
-  if (last_call && give_away_) {
-    for (routing::RequestRef ref : router_.open_refs())
-      give_away_(ref);
+  Duration elapsed = clock_.now() - *terminated_at_;
+  Duration total =
+      std::min(longest_deadline(config_.settings), kMaxCountedDeadline) + kAnswerMargin;
+  if (elapsed >= total)
+    end_open_requests();
+  // While connections are released to the process that has taken over, nothing is closed here.
+  if (!client_server_.passing() &&
+      elapsed >= std::max(kNewConnectionsPeriod, kKeepConnectionsFraction * total))
+    client_server_.close_connections();
+  if (has_open_work(elapsed)) {
+    idle_since_.reset();
+  } else if (!idle_since_) {
+    idle_since_ = clock_.now();
   }
-  if (last_call)
-    wards_.fail_all();
-  if (last_call && router_.open_requests() > 0) {
+  finished_ = elapsed >= total + kLastBytesPeriod ||
+              (idle_since_ && clock_.now() - *idle_since_ >= kLastBytesPeriod);
+  if (!finished_)
+    deadlines_.add(clock_.now() + kDrainInterval, [this] { drain(); });
+}
+
+// The time is over: requests go to the process that has taken over, or are answered as failed.
+void App::end_open_requests() {
+  if (on_last_call_) {
+    for (routing::RequestRef request : router_.open_refs())
+      on_last_call_(request);
+  }
+  adopted_requests_.fail_all();
+  if (router_.open_requests() > 0) {
     log_.line("stop",
               std::to_string(router_.open_requests()) + " commands fail: the time to end is over");
     router_.fail_all();
   }
-  if (last_call) {
-    front_.refuse_commands();
-    front_.cut_streams();
-  }
-  bool passing =
-      front_.passing();  // to the process that has taken over: nothing new comes, nothing is closed
-  if (!passing && since >= std::max(kStillComing, kServedOn * time))
-    front_.close_connections();
-  // Whoever comes while the last bytes are taken is still served, and told to go at the last call.
-  bool busy = router_.open_requests() > 0 || !front_.empty() || (!passing && since < kStillComing);
-  if (busy) {
-    quiet_since_.reset();
-  } else if (!quiet_since_) {
-    quiet_since_ = clock_.now();
-  }
-  finished_ =
-      since >= time + kFarewell || (quiet_since_ && clock_.now() - *quiet_since_ >= kFarewell);
-  if (!finished_)
-    deadlines_.add(clock_.now() + kDrainStep, [this] { drain(); });
+  client_server_.refuse_commands();
+  client_server_.cut_streams();
+}
+
+bool App::has_open_work(Duration since_term) const {
+  bool clients_may_connect = !client_server_.passing() && since_term < kNewConnectionsPeriod;
+  return router_.open_requests() > 0 || !client_server_.empty() || clients_may_connect;
 }
 
 }  // namespace dispatcher::program
--- a/src/program/app.h
+++ b/src/program/app.h
@@ -1,13 +1,13 @@
-// The wiring: one program out of the layers, over whatever network and clock it is given.
+// The wiring: one program made of the layers, over whatever network and clock it is given.
 #pragma once
 
 #include "features/features.h"
 #include "fleet/fleet_socket.h"
+#include "hot_restart/serving_program.h"
 #include "http/discovery_client.h"
 #include "http/worker_client.h"
 #include "operations/admin_handler.h"
 #include "operations/cordon_list.h"
-#include "program/adopted_requests.h"
 #include "program/config.h"
 
 namespace dispatcher::program {
@@ -20,87 +20,92 @@
 using http::WorkerClient;
 using operations::Log;
 
-struct Shares {  // of the descriptors
-  std::size_t accepted;
-  std::size_t connected;
-  std::size_t commands;
-  std::size_t operators;  // of their callers; set aside where there is an address for them
+// How the descriptors of the process are divided.
+struct Shares {
+  std::size_t accepted;   // connections of clients
+  std::size_t connected;  // connections to workers and discovery
+  std::size_t commands;   // open requests; fewer than `accepted`
+  std::size_t operators;  // connections of operators; 0 without an address for them
 };
 Shares share_descriptors(const Config& config);
 
-class App final : public operations::AdminOperations {
+class App final : public operations::AdminOperations, public hot_restart::ServingProgram {
  public:
-  // Features that are absent are off.
+  // Features that are absent are off. The references must outlive the App.
   App(Config config, const features::Features& features, transport::Network& network,
       transport::Deadlines& deadlines, const transport::Clock& clock, Log& log);
 
-  transport::Acceptor& acceptor() { return front_; }
-  void trace();  // from here on, a line in the log for each thing that happens to a command; before
-                 // start()
-  void talk_to(FleetSocket& peers);  // before start()
+  transport::Acceptor& acceptor() { return client_server_; }
+  // Logs a line for each event of a request; call before start().
+  void trace();
+  // Starts the exchange with other dispatchers; `fleet_socket` must outlive the App.
+  void talk_to(FleetSocket& fleet_socket);
   void start();
-  void reload(Config next);  // SIGHUP; read against in_force()
+
+  // SIGHUP. The settings hold for requests to come; open requests, what the scheduler has learned
+  // and the endpoint list stay. What a running program cannot take over is logged.
+  void reload(Config next);
+  // The configuration file that a reload is checked against.
   const Json::Value& in_force() const { return config_.file; }
-  void reload_failed(const std::string& why);  // the same, where the file makes no sense
-  void terminate();                            // SIGTERM
-  // What the other process of this dispatcher, during an upgrade, has to do with.
-  ClientServer& front() { return front_; }
-  routing::Router& router() { return router_; }
-  operations::CordonList& roster() { return roster_; }
-  const protocol::IdentifierTables& words() const { return config_.words; }
-  void serve(bool on) {
-    serves_ = on;
-  }  // false: another process still does, and this one's health is a no
-  void hear(const protocol::EndpointUpdate& heard);   // of the roster
-  bool by_hand(const std::string& worker, bool out);  // false: unknown
-  // The retry budget over an upgrade, in each window of its own length: what the old process has
-  // used of it is not known to the new one, which may use its free part only after a window; the
-  // old one uses none any more.
-  enum class Budget { Whole, NoFree, None };
-  void limit_budget(Budget to);
-  AdoptedRequests& wards() { return wards_; }
-  using GiveAway =
-      std::function<void(routing::RequestRef)>;  // of what is open when the time to end is over
-  void on_last_call(GiveAway give) { give_away_ = std::move(give); }
-  FleetSocket* peers() { return peers_; }
-  using TellByHand = std::function<void(const std::string& worker, bool out)>;
-  void on_by_hand(TellByHand tell) {
-    tell_by_hand_ = std::move(tell);
-  }  // calls that were taken here
+  // SIGHUP with an unusable file: the configuration stays.
+  void reload_failed(const std::string& reason);
+
+  // SIGTERM: starts the graceful shutdown.
+  void terminate();
+  // After terminate(): all that was accepted is answered.
+  bool finished() const { return finished_; }
 
+  // operations::AdminOperations
   bool healthy() const override;
   std::string stats() override;
   bool cordon(const std::string& worker) override;
   bool uncordon(const std::string& worker) override;
-  std::string fleet() const override { return peers_ ? peers_->view_json() : std::string(); }
-  bool finished() const { return finished_; }  // after terminate(): all that was taken is answered
+  std::string fleet() const override;
+
+  // hot_restart::ServingProgram
+  ClientServer& client_server() override { return client_server_; }
+  routing::Router& router() override { return router_; }
+  operations::CordonList& cordon_list() override { return cordon_list_; }
+  hot_restart::AdoptedRequests& adopted_requests() override { return adopted_requests_; }
+  FleetSocket* fleet_socket() override { return fleet_socket_; }
+  const protocol::IdentifierTables& identifiers() const override { return config_.words; }
+  void set_serving(bool serving) override { serving_ = serving; }
+  void apply_endpoint_update(const protocol::EndpointUpdate& update) override;
+  bool apply_cordon(const std::string& worker, bool cordoned) override;
+  void limit_retry_budget(hot_restart::RetryBudgetLimit limit) override;
+  void on_cordon_call(OnCordonCall callback) override { on_cordon_call_ = std::move(callback); }
+  void on_last_call(OnLastCall callback) override { on_last_call_ = std::move(callback); }
 
  private:
-  void tell_peers();
+  bool call_cordon(const std::string& worker, bool cordoned);
+  void announce_workers();
   void on_endpoint_update(scheduling::EndpointUpdateKind kind,
-                          const protocol::EndpointUpdate& list);
+                          const protocol::EndpointUpdate& update);
+  void log_reload(const Config& next, bool settings_changed) const;
   void drain();
+  void end_open_requests();
+  bool has_open_work(transport::Duration since_term) const;
 
   Config config_;
   transport::Deadlines& deadlines_;
   const transport::Clock& clock_;
   Log& log_;
   operations::Metrics metrics_;
-  operations::CordonList roster_;
+  operations::CordonList cordon_list_;
   std::optional<Streaming> streaming_;
-  ClientServer front_;
+  ClientServer client_server_;
   WorkerClient workers_;
-  DiscoveryClient names_;
+  DiscoveryClient discovery_;
   routing::Router router_;
-  AdoptedRequests wards_;
-  FleetSocket* peers_ = nullptr;
-  std::optional<transport::Time> terminated_;
-  std::optional<transport::Time> quiet_since_;  // the latter: nothing is open any more
+  hot_restart::AdoptedRequests adopted_requests_;
+  FleetSocket* fleet_socket_ = nullptr;
+  std::optional<transport::Time> terminated_at_;
+  std::optional<transport::Time> idle_since_;  // nothing is open any more
   bool finished_ = false;
-  bool serves_ = true;
-  TellByHand tell_by_hand_;
-  GiveAway give_away_;
-  Budget budget_ = Budget::Whole;
+  bool serving_ = true;
+  OnCordonCall on_cordon_call_;
+  OnLastCall on_last_call_;
+  hot_restart::RetryBudgetLimit retry_budget_limit_ = hot_restart::RetryBudgetLimit::Unlimited;
 };
 
 }  // namespace dispatcher::program
--- a/src/program/commands.cpp
+++ b/src/program/commands.cpp
@@ -7,16 +7,16 @@
 
 namespace dispatcher::program {
 
-void show_permits(const Config& c) {
+void show_permits(const Config& config) {
   settings::Place place;
-  place.sockets = c.sockets;
-  place.memory_mb = c.memory_mb;
-  place.most_open = c.most_open;
-  place.peers_allowed = c.may_talk;
-  place.listens = !c.peer_listen.empty();
-  place.peers = c.peers.size();
-  std::fputs(settings::describe(c.settings, place).c_str(), stdout);
-  for (const std::string& warning : settings::contradictions(c.settings, place))
+  place.sockets = config.sockets;
+  place.memory_mb = config.memory_mb;
+  place.most_open = config.most_open;
+  place.peers_allowed = config.may_talk;
+  place.listens = !config.peer_listen.empty();
+  place.peers = config.peers.size();
+  std::fputs(settings::describe(config.settings, place).c_str(), stdout);
+  for (const std::string& warning : settings::contradictions(config.settings, place))
     std::fprintf(stderr, "warning: %s\n", warning.c_str());
 }
 
@@ -31,11 +31,12 @@
               all["incarnation"].asUInt(), all["digest"].asCString());
   std::printf("%-21s  %-7s  %11s  %9s  %10s\n", "member", "state", "incarnation", "for",
               "round trip");
-  for (const Json::Value& m : all["members"]) {
-    std::printf("%-21s  %-7s  %11u  %7.1f s  ", m["member"].asCString(), m["state"].asCString(),
-                m["incarnation"].asUInt(), m["for_ms"].asDouble() / 1000);
-    if (m.isMember("round_trip_ms")) {
-      std::printf("%7.1f ms\n", m["round_trip_ms"].asDouble());
+  for (const Json::Value& member : all["members"]) {
+    std::printf("%-21s  %-7s  %11u  %7.1f s  ", member["member"].asCString(),
+                member["state"].asCString(), member["incarnation"].asUInt(),
+                member["for_ms"].asDouble() / 1000);
+    if (member.isMember("round_trip_ms")) {
+      std::printf("%7.1f ms\n", member["round_trip_ms"].asDouble());
     } else {
       std::printf("%10s\n", "-");
     }
--- a/src/program/config.cpp
+++ b/src/program/config.cpp
@@ -1,44 +1,57 @@
 #include "program/config.h"
 
 #include <algorithm>
+#include <array>
 #include <charconv>
+#include <fstream>
+#include <iterator>
 #include <map>
 #include <set>
 
 namespace dispatcher::program {
 namespace {
 
-std::string scalar(const Json::Value& v) {
-  if (v.isNull())
+ConfigError invalid(const std::string& field, const std::string& reason) {
+  return ConfigError::invalid(field, reason);
+}
+
+constexpr std::size_t kMaxDoubleText = 32;  // characters
+constexpr std::size_t kMinSockets = 64;
+constexpr std::size_t kMinMemoryMb = 16;
+
+// A value as the settings reader expects it: texts without blanks and commas.
+std::string scalar(const Json::Value& value) {
+  if (value.isNull())
     return "-";
-  if (v.isBool())
-    return v.asBool() ? "true" : "false";
-  if (v.isIntegral())
-    return v.isUInt64() ? std::to_string(v.asUInt64()) : std::to_string(v.asInt64());
-  if (v.isDouble()) {
-    char text[32];
-    return {text, std::to_chars(text, text + sizeof text, v.asDouble()).ptr};
+  if (value.isBool())
+    return value.asBool() ? "true" : "false";
+  if (value.isIntegral())
+    return value.isUInt64() ? std::to_string(value.asUInt64()) : std::to_string(value.asInt64());
+  if (value.isDouble()) {
+    std::array<char, kMaxDoubleText> text{};
+    char* begin = text.data();
+    return {begin, std::to_chars(begin, begin + text.size(), value.asDouble()).ptr};
   }
-  std::string text = v.asString();
+  std::string text = value.asString();
   std::ranges::replace_if(
-      text, [](char c) { return c == ' ' || c == ','; }, '_');
+      text, [](char letter) { return letter == ' ' || letter == ','; }, '_');
   return text;
 }
 
 // Nested JSON as the path=value pairs of the simulator's wire, for the one reader of settings.
-void flatten(const std::string& path, const Json::Value& v,
-             std::map<std::string, std::string>& out) {
+void flatten(const std::string& path, const Json::Value& value,
+             std::map<std::string, std::string>& pairs) {
   std::string below = path.empty() ? "" : path + ".";
-  if (v.isObject()) {
-    for (const std::string& name : v.getMemberNames())
-      flatten(below + name, v[name], out);
-  } else if (v.isArray() && !v.empty() && v[0].isObject()) {
-    out[below + "count"] = std::to_string(v.size());
-    for (Json::ArrayIndex i = 0; i < v.size(); ++i)
-      flatten(below + std::to_string(i), v[i], out);
-  } else if (v.isArray()) {
-    std::string& list = out[path];
-    for (const Json::Value& item : v) {
+  if (value.isObject()) {
+    for (const std::string& name : value.getMemberNames())
+      flatten(below + name, value[name], pairs);
+  } else if (value.isArray() && !value.empty() && value[0].isObject()) {
+    pairs[below + "count"] = std::to_string(value.size());
+    for (Json::ArrayIndex i = 0; i < value.size(); ++i)
+      flatten(below + std::to_string(i), value[i], pairs);
+  } else if (value.isArray()) {
+    std::string& list = pairs[path];
+    for (const Json::Value& item : value) {
       if (item.isArray() || item.isObject())
         continue;
       if (!list.empty())
@@ -46,226 +59,316 @@
       list += scalar(item);
     }
   } else {
-    out[path] = scalar(v);
+    pairs[path] = scalar(value);
   }
 }
 
 std::vector<std::string> names(const Json::Value& list) {
-  std::vector<std::string> out;
-  for (const Json::Value& v : list) {
-    const Json::Value& name = v.isObject() ? v["Name"] : v;
-    out.push_back(name.isString() ? name.asString() : std::string());
+  std::vector<std::string> texts;
+  for (const Json::Value& value : list) {
+    const Json::Value& name = value.isObject() ? value["Name"] : value;
+    texts.push_back(name.isString() ? name.asString() : std::string());
   }
-  return out;
+  return texts;
 }
 
-// ---- Is the file of a reload whole? ----
+// ---- Checks of a reload ----
 
-enum class Type { None, Text, Number, Truth, List, Object };
+enum class JsonType { None, Text, Number, Truth, List, Object };
 
-Type type_of(const Json::Value& v) {
-  return v.isNull()      ? Type::None
-         : v.isString()  ? Type::Text
-         : v.isBool()    ? Type::Truth
-         : v.isNumeric() ? Type::Number
-         : v.isArray()   ? Type::List
-                         : Type::Object;
+JsonType type_of(const Json::Value& value) {
+  if (value.isNull())
+    return JsonType::None;
+  if (value.isString())
+    return JsonType::Text;
+  if (value.isBool())
+    return JsonType::Truth;
+  if (value.isNumeric())
+    return JsonType::Number;
+  return value.isArray() ? JsonType::List : JsonType::Object;
 }
 
-// What all the elements of a list of objects have: the least that another one needs.
-Json::Value common(const Json::Value& list) {
-  Json::Value least = list[0];
+// The members that all elements of a list of objects have: a further element needs at least those.
+Json::Value common_members(const Json::Value& list) {
+  Json::Value common = list[0];
   for (const Json::Value& item : list) {
-    for (const std::string& name : least.getMemberNames()) {
-      if (!item.isObject() || type_of(item[name]) != type_of(least[name]))
-        least.removeMember(name);
+    for (const std::string& name : common.getMemberNames()) {
+      if (!item.isObject() || type_of(item[name]) != type_of(common[name]))
+        common.removeMember(name);
     }
   }
-  return least;
+  return common;
 }
 
-void need_like(const Json::Value& was, const Json::Value& is, const std::string& path) {
-  if (was.isNull())
+// Throws ConfigError unless `next` has all that `now` has, with values of the same types.
+void require_same_shape(const Json::Value& now, const Json::Value& next, const std::string& path) {
+  if (now.isNull())
     return;
-  if (is.isNull())
-    throw std::runtime_error(path + " is missing");
-  if (type_of(was) != type_of(is))
-    throw std::runtime_error(path + " is of another type than before");
-  if (was.isObject()) {
-    for (const std::string& name : was.getMemberNames())
-      need_like(was[name], is[name], path.empty() ? name : path + "." + name);
+  if (next.isNull())
+    throw invalid(path, path + " is missing");
+  if (type_of(now) != type_of(next))
+    throw invalid(path, path + " is of another type than before");
+  if (now.isObject()) {
+    std::string prefix = path.empty() ? path : path + ".";
+    for (const std::string& name : now.getMemberNames())
+      require_same_shape(now[name], next[name], std::string(prefix).append(name));
   }
-  if (!was.isArray() || was.empty())
+  if (!now.isArray() || now.empty())
     return;
-  if (is.empty())
-    throw std::runtime_error(path + " is empty");
-  Json::Value least = was[0].isObject() ? common(was) : was[0];
-  for (Json::ArrayIndex i = 0; i < is.size(); ++i)
-    need_like(least, is[i], path + "." + std::to_string(i));
+  if (next.empty())
+    throw invalid(path, path + " is empty");
+  Json::Value required = now[0].isObject() ? common_members(now) : now[0];
+  for (Json::ArrayIndex i = 0; i < next.size(); ++i)
+    require_same_shape(required, next[i], path + "." + std::to_string(i));
+}
+
+void require_positive(const Json::Value& value, const std::string& field) {
+  if (!value.isNumeric() || !(value.asDouble() > 0))
+    throw invalid(field, field + " is not a positive number");
 }
 
-void need_sense(const Json::Value& settings) {
-  auto positive = [](const Json::Value& v, const std::string& what) {
-    if (!v.isNumeric() || !(v.asDouble() > 0))
-      throw std::runtime_error(what + " is not a positive number");
-  };
-  positive(settings["Permissions"]["MaxAttempts"], "MaxAttempts");
+// Throws ConfigError where a running program could not work with the settings.
+void require_usable(const Json::Value& settings) {
+  require_positive(settings["Permissions"]["MaxAttempts"], "MaxAttempts");
   std::set<std::string> seen;
-  for (const Json::Value& lane : settings["Lanes"]) {
-    std::string name = lane["Name"].isString() ? lane["Name"].asString() : "";
+  for (const Json::Value& job_class : settings["Lanes"]) {
+    std::string name = job_class["Name"].isString() ? job_class["Name"].asString() : "";
     if (name.empty() || !seen.insert(name).second)
-      throw std::runtime_error("a class has no name of its own");
-    positive(lane["DeadlineMs"], "DeadlineMs of " + name);
-    const Json::Value& idempotency = lane["Effect"];
+      throw invalid("Lanes", "a class has no name of its own");
+    require_positive(job_class["DeadlineMs"], "DeadlineMs of " + name);
+    const Json::Value& idempotency = job_class["Effect"];
     if (idempotency != "safe" && idempotency != "keyed" && idempotency != "unsafe")
-      throw std::runtime_error("Effect of " + name + " is none that is known");
+      throw invalid("Effect", "Effect of " + name + " is none that is known");
   }
 }
 
-// The numbers, in `kept`, of what `next` names; `kept` grows by what it lacks.
-std::vector<std::size_t> numbers(std::vector<std::string>& kept,
-                                 const std::vector<std::string>& next) {
-  std::vector<std::size_t> out;
+// Returns the index in `kept` of each name in `next`; names that `kept` lacks are appended to it.
+std::vector<std::size_t> indexes_in(std::vector<std::string>& kept,
+                                    const std::vector<std::string>& next) {
+  std::vector<std::size_t> indexes;
   for (const std::string& name : next) {
     auto it = std::ranges::find(kept, name);
-    out.push_back(static_cast<std::size_t>(it - kept.begin()));
+    indexes.push_back(static_cast<std::size_t>(it - kept.begin()));
     if (it == kept.end())
       kept.push_back(name);
   }
-  return out;
+  return indexes;
+}
+
+// Puts the names of `names` in the order of `now`, new ones behind. Returns the new index of each.
+std::vector<std::size_t> keep_order(const std::vector<std::string>& now,
+                                    std::vector<std::string>& names) {
+  std::vector<std::string> kept = now;
+  std::vector<std::size_t> new_indexes = indexes_in(kept, names);
+  names = std::move(kept);
+  return new_indexes;
 }
 
-std::uint64_t read_seed(const Json::Value& v) {
-  if (v.isUInt64())
-    return v.asUInt64();
-  std::string text = v.isString() ? v.asString() : "";
+void renumber(int& index, const std::vector<std::size_t>& new_indexes) {
+  if (index >= 0 && index < std::ssize(new_indexes))
+    index = static_cast<int>(new_indexes[static_cast<std::size_t>(index)]);
+}
+
+// A whole number, or a text of hexadecimal digits.
+std::uint64_t read_seed(const Json::Value& value) {
+  if (value.isUInt64())
+    return value.asUInt64();
+  std::string text = value.isString() ? value.asString() : "";
   std::uint64_t seed = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
   if (error != std::errc() || end != text.data() + text.size())
-    throw std::runtime_error("bad seed");
+    throw invalid("seed", "bad seed");
   return seed;
 }
 
-}  // namespace
+std::string text_or_empty(const Json::Value& value) {
+  return value.isString() ? value.asString() : std::string();
+}
 
-Config read_config(std::string_view json, const Lookup& environment,
-                   scheduling::Duration wall_to_steady, Occasion occasion,
-                   const Json::Value& in_force) try {
-  Json::Value all = protocol::parse_json(json);
-  if (!all.isObject() || !all["settings"].isObject())
-    throw std::runtime_error("it holds no settings");
-  if (occasion == Occasion::Reload) {
-    need_like(in_force, all, "");
-    need_sense(all["settings"]);
+enum class Precedence { Environment, File };
+
+// A setting that must be in the environment or in the file.
+std::string required_setting(const Json::Value& file, const char* field, const Lookup& environment,
+                             const char* variable,
+                             Precedence precedence = Precedence::Environment) {
+  std::string value = environment(variable);
+  std::string in_file = text_or_empty(file[field]);
+  if (value.empty() || (precedence == Precedence::File && !in_file.empty()))
+    value = in_file;
+  if (value.empty()) {
+    throw invalid(field, std::string("neither ") + variable + " nor \"" + field + "\" is set");
   }
-  Config c;
-  auto either = [&](const char* variable, const char* field, bool file_first = false) {
-    std::string value = environment(variable);
-    std::string filed = all[field].isString() ? all[field].asString() : std::string();
-    if (value.empty() || (file_first && !filed.empty()))
-      value = filed;
-    if (value.empty()) {
-      throw std::runtime_error(std::string("neither ") + variable + " nor \"" + field +
-                               "\" is set");
-    }
-    return value;
-  };
-  c.name = either("ROUTER_NAME", "name");
-  c.listen = either("ROUTER_LISTEN", "listen");
-  c.discovery = either("ROUTER_DISCOVERY", "discovery", occasion == Occasion::Reload);
-  c.ops = environment("ROUTER_OPS");
-  if (c.ops.empty() && all["ops"].isString())
-    c.ops = all["ops"].asString();
-  const Json::Value& limits = all["limits"];
+  return value;
+}
+
+void read_addresses(const Json::Value& file, const Lookup& environment, Occasion occasion,
+                    Config& config) {
+  Precedence discovery = occasion == Occasion::Reload ? Precedence::File : Precedence::Environment;
+  config.name = required_setting(file, "name", environment, "ROUTER_NAME");
+  config.listen = required_setting(file, "listen", environment, "ROUTER_LISTEN");
+  config.discovery =
+      required_setting(file, "discovery", environment, "ROUTER_DISCOVERY", discovery);
+  config.ops = environment("ROUTER_OPS");
+  if (config.ops.empty())
+    config.ops = text_or_empty(file["ops"]);
+}
+
+void read_limits(const Json::Value& limits, Config& config) {
   if (limits.isObject() && limits["sockets"].isUInt())
-    c.sockets = limits["sockets"].asUInt();
+    config.sockets = limits["sockets"].asUInt();
   if (limits.isObject() && limits["memory_mb"].isUInt())
-    c.memory_mb = limits["memory_mb"].asUInt();
-  if (c.sockets < 64)
-    throw std::runtime_error("fewer than 64 sockets are too few to work with");
-  if (c.memory_mb < 16)
-    throw std::runtime_error("less than 16 MB of memory are too few to work with");
+    config.memory_mb = limits["memory_mb"].asUInt();
+  if (config.sockets < kMinSockets)
+    throw invalid("limits.sockets", "fewer than 64 sockets are too few to work with");
+  if (config.memory_mb < kMinMemoryMb)
+    throw invalid("limits.memory_mb", "less than 16 MB of memory are too few to work with");
+}
 
-  const Json::Value& s = all["settings"];
+void read_identifiers(const Json::Value& settings, protocol::IdentifierTables& words) {
+  words.classes = names(settings["Lanes"]);
+  words.tenants = names(settings["Tenants"]);
+  words.zones = names(settings["Localities"]);
+  words.kinds = names(settings["Skus"]);
+}
+
+// What a message names by class, from the settings of the classes.
+void index_classes(const std::vector<scheduling::ClassSettings>& classes,
+                   protocol::IdentifierTables& words) {
+  words.keyed.clear();
+  words.deadlines.clear();
+  for (const scheduling::ClassSettings& job_class : classes) {
+    words.keyed.push_back(job_class.idempotency == scheduling::Idempotency::KeyedIdempotent);
+    words.deadlines.push_back(job_class.deadline);
+  }
+}
+
+void read_peers(const Json::Value& file, Config& config) {
+  config.peer_listen = text_or_empty(file["peer_listen"]);
+  for (const Json::Value& peer : file["peers"])
+    config.peers.push_back(text_or_empty(peer));
+}
+
+void read_all_settings(const Json::Value& file, Config& config) {
   std::map<std::string, std::string> pairs;
-  flatten("", s, pairs);
+  flatten("", file["settings"], pairs);
   settings::SettingsReader reader(std::move(pairs));
-  c.words.columns = settings::read_settings(reader, c.settings);
-  if (all.isMember("seed"))
-    c.settings.seed = read_seed(all["seed"]);
-  scheduling::validate(c.settings);
-  c.conn_idle = reader.time("Permissions.ConnIdleMs");
-  c.most_open = static_cast<std::size_t>(std::max(0, reader.whole("Permissions.MaxOpen", 0)));
-
-  c.words.classes = names(s["Lanes"]);
-  c.words.tenants = names(s["Tenants"]);
-  c.words.zones = names(s["Localities"]);
-  c.words.kinds = names(s["Skus"]);
-  for (const auto& k : c.settings.classes) {
-    c.words.keyed.push_back(k.idempotency == scheduling::Idempotency::KeyedIdempotent);
-    c.words.deadlines.push_back(k.deadline);
-    c.words.dropped.push_back(false);
-  }
-  c.words.wall_to_steady = wall_to_steady;
-  c.fixed = {
-      {"name", c.name}, {"listen", c.listen}, {"ops", c.ops}, {"limits", limits.toStyledString()}};
-  c.may_talk = reader.yes("Permissions.Peers");
-  if (c.may_talk) {
-    if (all["peer_listen"].isString())
-      c.peer_listen = all["peer_listen"].asString();
-    for (const Json::Value& peer : all["peers"])
-      c.peers.push_back(peer.isString() ? peer.asString() : "");
+  config.words.columns = settings::read_settings(reader, config.settings);
+  if (file.isMember("seed"))
+    config.settings.seed = read_seed(file["seed"]);
+  scheduling::validate(config.settings);
+  config.conn_idle = reader.time("Permissions.ConnIdleMs");
+  config.most_open = static_cast<std::size_t>(std::max(0, reader.whole("Permissions.MaxOpen", 0)));
+  config.may_talk = reader.yes("Permissions.Peers");
+}
+
+Config read_checked(std::string_view json, const Lookup& environment,
+                    scheduling::Duration wall_to_steady, Occasion occasion,
+                    const Json::Value& in_force) {
+  Json::Value file = protocol::parse_json(json);
+  if (!file.isObject() || !file["settings"].isObject())
+    throw invalid("settings", "it holds no settings");
+  if (occasion == Occasion::Reload) {
+    require_same_shape(in_force, file, "");
+    require_usable(file["settings"]);
   }
-  if (all["known"].isObject() && !all["known"].empty())
-    c.known = protocol::parse_endpoint_update(all["known"], c.words);
-  c.file = std::move(all);
-  c.file.removeMember("known");
-  c.file.removeMember("seed");
-  return c;
-} catch (const std::exception& e) {  // jsoncpp's and the reader's errors among them
-  throw std::runtime_error(std::string("configuration: ") + e.what());
+  Config config;
+  read_addresses(file, environment, occasion, config);
+  read_limits(file["limits"], config);
+  read_all_settings(file, config);
+  read_identifiers(file["settings"], config.words);
+  index_classes(config.settings.classes, config.words);
+  config.words.dropped.assign(config.settings.classes.size(), false);
+  config.words.wall_to_steady = wall_to_steady;
+  config.fixed = {{"name", config.name},
+                  {"listen", config.listen},
+                  {"ops", config.ops},
+                  {"limits", file["limits"].toStyledString()}};
+  if (config.may_talk)
+    read_peers(file, config);
+  if (file["known"].isObject() && !file["known"].empty())
+    config.known = protocol::parse_endpoint_update(file["known"], config.words);
+  config.file = std::move(file);
+  config.file.removeMember("known");
+  config.file.removeMember("seed");
+  return config;
 }
 
-void keep_numbers(const Config& now, Config& next) {
-  scheduling::Settings& s = next.settings;
-  protocol::IdentifierTables& words = next.words;
-  auto keep = [](const std::vector<std::string>& as, std::vector<std::string>& names) {
-    std::vector<std::string> kept = as;
-    std::vector<std::size_t> number = numbers(kept, names);
-    names = std::move(kept);
-    return number;
-  };
-  auto renumber = [](int& index, const std::vector<std::size_t>& number) {
-    if (index >= 0 && index < std::ssize(number))
-      index = static_cast<int>(number[static_cast<std::size_t>(index)]);
-  };
-  renumber(s.zone, keep(now.words.zones, words.zones));
-  std::vector<std::size_t> kinds = keep(now.words.kinds, words.kinds);
-  for (auto& c : s.classes)
-    renumber(c.kind, kinds);
-
-  std::vector<std::size_t> tenants = keep(now.words.tenants, words.tenants);
-  std::vector<double> quotas(words.tenants.size());
-  for (std::size_t i = 0; i < std::min(tenants.size(), s.tenant_quotas.size()); ++i)
-    quotas[tenants[i]] = s.tenant_quotas[i];
-  s.tenant_quotas = std::move(quotas);
-
-  std::vector<std::size_t> classes = keep(now.words.classes, words.classes);
-  std::vector<scheduling::ClassSettings> all = now.settings.classes;
-  std::vector<bool> dropped(words.classes.size(), true);
-  all.resize(words.classes.size());
-  for (std::size_t i = 0; i < classes.size(); ++i) {
-    all[classes[i]] = s.classes[i];
-    dropped[classes[i]] = false;
+void keep_tenants(const Config& now, Config& next) {
+  std::vector<double>& quotas = next.settings.tenant_quotas;
+  std::vector<std::size_t> new_indexes = keep_order(now.words.tenants, next.words.tenants);
+  std::vector<double> kept(next.words.tenants.size());
+  for (std::size_t i = 0; i < std::min(new_indexes.size(), quotas.size()); ++i)
+    kept[new_indexes[i]] = quotas[i];
+  quotas = std::move(kept);
+}
+
+void keep_classes(const Config& now, Config& next) {
+  std::vector<std::size_t> new_indexes = keep_order(now.words.classes, next.words.classes);
+  std::size_t count = next.words.classes.size();
+  std::vector<scheduling::ClassSettings> kept = now.settings.classes;
+  std::vector<bool> dropped(count, true);
+  kept.resize(count);
+  for (std::size_t i = 0; i < new_indexes.size(); ++i) {
+    kept[new_indexes[i]] = next.settings.classes[i];
+    dropped[new_indexes[i]] = false;
   }
-  s.classes = std::move(all);
-  words.dropped = std::move(dropped);
-  words.keyed.clear();
-  words.deadlines.clear();
-  for (const auto& c : s.classes) {
-    words.keyed.push_back(c.idempotency == scheduling::Idempotency::KeyedIdempotent);
-    words.deadlines.push_back(c.deadline);
+  next.settings.classes = std::move(kept);
+  next.words.dropped = std::move(dropped);
+  index_classes(next.settings.classes, next.words);
+}
+
+}  // namespace
+
+ConfigError::ConfigError(const std::string& text, Details details)
+    : std::runtime_error(text), details_(std::move(details)) {}
+
+ConfigError ConfigError::unreadable(const std::string& file, const std::string& reason) {
+  return {reason, {.file = file, .field = {}, .reason = reason}};
+}
+
+ConfigError ConfigError::invalid(const std::string& field, const std::string& reason) {
+  return {"configuration: " + reason, {.file = {}, .field = field, .reason = reason}};
+}
+
+ConfigError ConfigError::in_file(const std::string& file) const {
+  Details details = details_;
+  details.file = file;
+  return {what(), std::move(details)};
+}
+
+Config read_config(std::string_view json, const Lookup& environment,
+                   scheduling::Duration wall_to_steady, Occasion occasion,
+                   const Json::Value& in_force) try {
+  return read_checked(json, environment, wall_to_steady, occasion, in_force);
+} catch (const ConfigError&) {
+  throw;
+} catch (const std::exception& error) {  // of jsoncpp, the settings reader and the validation
+  throw invalid({}, error.what());
+}
+
+Config read_config_file(const std::string& path, const Lookup& environment,
+                        scheduling::Duration wall_to_steady, Occasion occasion,
+                        const Json::Value& in_force) {
+  if (path.empty())
+    throw ConfigError::unreadable({}, "ROUTER_CONFIG is not set");
+  std::ifstream in(path, std::ios::binary);
+  std::string text{std::istreambuf_iterator<char>(in), {}};
+  if (!in)
+    throw ConfigError::unreadable(path, "cannot read " + path);
+  try {
+    return read_config(text, environment, wall_to_steady, occasion, in_force);
+  } catch (const ConfigError& error) {
+    throw error.in_file(path);
   }
 }
 
+void keep_numbers(const Config& now, Config& next) {
+  renumber(next.settings.zone, keep_order(now.words.zones, next.words.zones));
+  std::vector<std::size_t> kinds = keep_order(now.words.kinds, next.words.kinds);
+  for (auto& job_class : next.settings.classes)
+    renumber(job_class.kind, kinds);
+  keep_tenants(now, next);
+  keep_classes(now, next);
+}
+
 }  // namespace dispatcher::program
--- a/src/program/config.h
+++ b/src/program/config.h
@@ -4,6 +4,7 @@
 #include <functional>
 #include <map>
 #include <optional>
+#include <stdexcept>
 #include <string>
 
 #include "protocol/messages.h"
@@ -14,40 +15,68 @@
   std::string name;
   std::string listen;
   std::string discovery;
-  std::string ops;  // the operators' address; empty: none
+  std::string ops;  // address for operators; empty: none
   std::size_t sockets = 1024;
   std::size_t memory_mb = 192;
-  std::size_t most_open = 0;  // commands; 0: the settings name no limit
+  std::size_t most_open = 0;  // max. open requests; 0: the settings name no limit
   scheduling::Duration conn_idle{0};
   scheduling::Settings settings;
   protocol::IdentifierTables words;
   std::optional<protocol::EndpointUpdate> known;
   bool may_talk = false;           // with other dispatchers
-  std::string peer_listen;         // empty: dispatchers do not talk with each other
-  std::vector<std::string> peers;  // their addresses, by the dispatchers' numbers
-  // What a running program cannot take over, as written: a reload that changes one of these says
-  // so.
+  std::string peer_listen;         // address for datagrams; empty: no talk with other dispatchers
+  std::vector<std::string> peers;  // addresses of all dispatchers, by their index
+  // Settings that need a restart, as written in the file: a reload that changes one logs its name.
   std::map<std::string, std::string> fixed;
-  Json::Value file;  // as read, without `known`: what a reload must have too
+  Json::Value file;  // as read, without `known` and `seed`: a reload must have the same keys
 };
 
-using Lookup = std::function<std::string(const char* variable)>;  // empty when unset
+// Why a configuration cannot be used. what() is the one line for the operator.
+class ConfigError : public std::runtime_error {
+ public:
+  static ConfigError unreadable(const std::string& file, const std::string& reason);
+  // what() is "configuration: REASON".
+  static ConfigError invalid(const std::string& field, const std::string& reason);
+  // The same error with the file's path.
+  ConfigError in_file(const std::string& file) const;
+
+  const std::string& file() const { return details_.file; }    // empty: not known
+  const std::string& field() const { return details_.field; }  // empty: of no single field
+  const std::string& reason() const { return details_.reason; }
+
+ private:
+  struct Details {
+    std::string file;
+    std::string field;
+    std::string reason;
+  };
+  ConfigError(const std::string& text, Details details);
+
+  Details details_;
+};
+
+// The value of an environment variable; empty if it is unset.
+using Lookup = std::function<std::string(const char* variable)>;
 
 // At the start the environment goes before the file; at a reload the file's `discovery` goes before
 // the environment, which cannot have changed since.
 enum class Occasion { Start, Reload };
 
-// Throws std::runtime_error with one line that names what is wrong. A reload is held against the
-// file that is in force: it needs the same keys with values of the same types, and settings that
-// can be worked with, since a file that is half written must not be taken for one that means to
-// leave things out.
+// Throws ConfigError. A reload is checked against the file in force: it needs the same keys with
+// values of the same types, and usable settings, as a half-written file must not be taken for one
+// that leaves settings out on purpose.
 Config read_config(std::string_view json, const Lookup& environment,
                    scheduling::Duration wall_to_steady, Occasion occasion = Occasion::Start,
                    const Json::Value& in_force = {});
 
-// Numbers the classes, tenants, zones and kinds of `next` as `now` does, new ones behind: jobs and
-// what has been learned refer to them by number. A class that `next` does not name any more keeps
-// its place, marked as dropped.
+// The same for the file at `path`.
+Config read_config_file(const std::string& path, const Lookup& environment,
+                        scheduling::Duration wall_to_steady, Occasion occasion = Occasion::Start,
+                        const Json::Value& in_force = {});
+
+// Gives the classes, tenants, zones and kinds of `next` the indexes they have in `now`, new ones
+// behind: open requests and learned state refer to them by index. A class that `next` does not name
+// any more keeps its index, marked as dropped.
 void keep_numbers(const Config& now, Config& next);
 
 }  // namespace dispatcher::program
--- /dev/null
+++ b/src/program/dispatcher_process.cpp
@@ -0,0 +1,245 @@
+#include "program/dispatcher_process.h"
+
+#include <glib-unix.h>
+
+#include <csignal>
+#include <cstdlib>
+
+#include "fleet/key_file.h"
+
+namespace dispatcher::program {
+
+namespace {
+
+// In $TMPDIR, which both processes of a hot restart share.
+constexpr const char* kLocalSocketName = "/oatledge.sock";
+
+transport::Duration measure_wall_to_steady() {
+  transport::Duration steady = std::chrono::steady_clock::now().time_since_epoch();
+  return steady - transport::Duration(std::chrono::system_clock::now().time_since_epoch());
+}
+
+// Higher at each start, without a disk; a clock that was put back costs one refutation.
+std::uint32_t new_incarnation() {
+  auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
+  return static_cast<std::uint32_t>(
+      std::chrono::duration_cast<std::chrono::seconds>(since_epoch).count());
+}
+
+void change_signal_mask(int how, int number) {
+  sigset_t signals;
+  sigemptyset(&signals);
+  sigaddset(&signals, number);
+  pthread_sigmask(how, &signals, nullptr);
+}
+
+// `callback` must outlive the source.
+transport::SourcePtr on_signal(int number, std::function<void()>& callback, GMainContext* context) {
+  transport::SourcePtr source(g_unix_signal_source_new(number));
+  GSourceFunc call = [](gpointer data) -> gboolean {
+    (*static_cast<std::function<void()>*>(data))();
+    return G_SOURCE_CONTINUE;
+  };
+  g_source_set_callback(source.get(), call, &callback, nullptr);
+  g_source_attach(source.get(), context);
+  return source;
+}
+
+// Without an address for operators nobody can ask whether a new process has taken over.
+std::string local_socket_path(const Config& config) {
+  std::string folder = environment("TMPDIR");
+  return config.ops.empty() || folder.empty() ? std::string() : folder + kLocalSocketName;
+}
+
+}  // namespace
+
+std::string environment(const char* variable) {
+  const char* value = std::getenv(variable);
+  return value ? value : "";
+}
+
+void prepare_signals() {
+  std::signal(SIGPIPE, SIG_IGN);
+  change_signal_mask(SIG_BLOCK, SIGHUP);
+}
+
+DispatcherProcess::DispatcherProcess(const features::Features& features,
+                                     const ProcessOptions& options)
+    : features_(features),
+      wall_to_steady_(measure_wall_to_steady()),
+      config_(read_start_config()),
+      loop_(deadlines_, clock_),
+      log_(clock_, options.log_format, config_.name),
+      local_socket_path_(local_socket_path(config_)),
+      outgoing_process_(inherit_state()),
+      shares_(share_descriptors(config_)),
+      operators_network_(make_operators_network()),
+      network_(loop_.context(), deadlines_, clock_, {shares_.accepted, shares_.connected},
+               log_socket_fault()),
+      app_(config_, features_, network_, deadlines_, clock_, log_) {
+  loop_.after_sockets([this] { return network_.serve_bulk(); });
+  handle_signals();
+  if (options.trace)
+    app_.trace();
+}
+
+Config DispatcherProcess::read_start_config() const {
+  return read_config_file(environment("ROUTER_CONFIG"), environment, wall_to_steady_);
+}
+
+std::function<void(const std::string&)> DispatcherProcess::log_socket_fault() {
+  return [this](const std::string& text) {
+    log_.line("sockets", text);
+  };
+}
+
+// Null without an address for operators.
+std::unique_ptr<transport::GioNetwork> DispatcherProcess::make_operators_network() {
+  if (config_.ops.empty())
+    return nullptr;
+  return std::make_unique<transport::GioNetwork>(
+      loop_.context(), deadlines_, clock_, transport::GioNetwork::Limits{shares_.operators, 0},
+      log_socket_fault());
+}
+
+// An outgoing process gives the clock offset and the endpoint list: reads the configuration again
+// with them.
+std::optional<hot_restart::OutgoingProcessContact> DispatcherProcess::inherit_state() {
+  auto contact = contact_outgoing_process();
+  if (contact && contact->welcome) {
+    wall_to_steady_ = transport::Duration(contact->welcome->wall_to_steady());
+    config_ = read_start_config();
+    config_.known = hot_restart::read_endpoints(*contact->welcome, config_.words);
+  }
+  return contact;
+}
+
+std::optional<hot_restart::OutgoingProcessContact> DispatcherProcess::contact_outgoing_process() {
+  if (local_socket_path_.empty())
+    return std::nullopt;
+  try {
+    return hot_restart::contact_outgoing_process(local_socket_path_, {config_.name, config_.listen},
+                                                 log_);
+  } catch (const std::runtime_error& error) {
+    log_.line("upgrade", std::string("no other process can take over: ") + error.what());
+    local_socket_path_.clear();
+    return std::nullopt;
+  }
+}
+
+void DispatcherProcess::handle_signals() {
+  on_terminate_ = [this] {
+    app_.terminate();
+  };
+  on_reload_ = [this] {
+    reload();
+  };
+  terminate_signal_ = on_signal(SIGTERM, on_terminate_, loop_.context());
+  interrupt_signal_ = on_signal(SIGINT, on_terminate_, loop_.context());
+  hangup_signal_ = on_signal(SIGHUP, on_reload_, loop_.context());
+  change_signal_mask(SIG_UNBLOCK, SIGHUP);
+}
+
+// A file that is half written or wrong leaves the running program as it is.
+void DispatcherProcess::reload() {
+  exchange_keys();
+  try {
+    app_.reload(read_config_file(environment("ROUTER_CONFIG"), environment, wall_to_steady_,
+                                 Occasion::Reload, app_.in_force()));
+  } catch (const std::exception& error) {
+    app_.reload_failed(error.what());
+  }
+}
+
+// Keys change while the program serves: docs/operations/fleet.md.
+void DispatcherProcess::exchange_keys() {
+  if (!features_.fleet().has_key_file() || !app_.fleet_socket())
+    return;
+  try {
+    app_.fleet_socket()->exchange(fleet::read_keys_file(features_.fleet().key_file()));
+    log_.line("keys", "read again");
+  } catch (const fleet::BadKeys& error) {
+    log_.line("keys", std::string("the old ones are kept: ") + error.what());
+  }
+}
+
+void DispatcherProcess::run() {
+  // Without a hot restart before app_.start(), so that the endpoint list is announced from the
+  // beginning; otherwise once this process serves.
+  if (local_socket_path_.empty())
+    start_fleet_socket({});
+  serve_operators();
+  app_.start();
+  serve_clients();
+  while (!app_.finished())
+    loop_.turn();
+  log_.line("stop", "ended");
+}
+
+void DispatcherProcess::serve_operators() {
+  if (!operators_network_)
+    return;
+  admin_server_.emplace(*operators_network_, deadlines_, clock_, log_, app_);
+  operators_network_->listen(config_.ops, *admin_server_);
+}
+
+void DispatcherProcess::serve_clients() {
+  if (local_socket_path_.empty()) {
+    network_.listen(config_.listen, app_.acceptor(), !config_.ops.empty());
+    return;
+  }
+  hot_restart_.emplace(
+      hot_restart_options(),
+      hot_restart::ProcessContext{loop_.context(), app_, network_, deadlines_, clock_, log_});
+  hot_restart_->start(std::move(outgoing_process_));
+}
+
+hot_restart::Options DispatcherProcess::hot_restart_options() {
+  const scheduling::Settings& settings = config_.settings;
+  return {.socket_path = local_socket_path_,
+          .identity = {config_.name, config_.listen},
+          .connection_limits = {shares_.accepted, shares_.connected},
+          .wall_to_steady = wall_to_steady_,
+          .overload_window = settings.overload_window,
+          .slow_start = settings.slow_start_duration,
+          .retry_budget_window = settings.retry_budget_window.value_or(transport::Duration(0)),
+          .start_fleet_socket = [this](hot_restart::InheritedFleetState inherited) {
+            start_fleet_socket(std::move(inherited));
+          }};
+}
+
+// Without it the dispatcher serves on, only without gossip.
+void DispatcherProcess::start_fleet_socket(hot_restart::InheritedFleetState inherited) {
+  if (config_.peer_listen.empty() || fleet_socket_)
+    return;
+  try {
+    fleet_socket_.emplace(loop_.context(), fleet_options(inherited), deadlines_, clock_, log_,
+                          std::move(inherited.socket));
+    app_.talk_to(*fleet_socket_);
+  } catch (const std::runtime_error& error) {
+    log_.line("peers", std::string("serves on without news of the others: ") + error.what());
+  }
+}
+
+fleet::FleetSocket::Options DispatcherProcess::fleet_options(
+    hot_restart::InheritedFleetState& inherited) const {
+  const features::Fleet& fleet = features_.fleet();
+  fleet::FleetSocket::Options options;
+  options.listen = config_.peer_listen;
+  options.peers = config_.peers;
+  options.self = config_.settings.index;
+  options.view = features_.has_fleet();
+  options.incarnation = inherited.incarnation ? inherited.incarnation : new_incarnation();
+  options.known = std::move(inherited.members);
+  options.period = transport::Duration(fleet.period_ms());
+  options.answer_in = transport::Duration(fleet.answer_ms());
+  options.forget = std::chrono::seconds(fleet.forget_s());
+  options.seeds.assign(fleet.seed().begin(), fleet.seed().end());
+  options.advertise = fleet.advertise();
+  options.to_wall = -wall_to_steady_;
+  if (fleet.has_key_file())
+    options.keys = fleet::read_keys_file(fleet.key_file());
+  return options;
+}
+
+}  // namespace dispatcher::program
--- a/tests/hot_restart/hot_restart_test.cpp
+++ b/tests/hot_restart/hot_restart_test.cpp
@@ -15,148 +15,150 @@
 #include "testbed/stubs/stubs.h"
 
 using namespace dispatcher;
-using hot_restart::IncomingProcess;
-using hot_restart::OutgoingProcess;
+using hot_restart::IncomingOwnership;
+using hot_restart::OutgoingOwnership;
 
 namespace {
 
 // The two sides and the link between them, as the program joins them. `accepting` is what a side
 // does with the listening socket.
 struct World {
-  enum class Said { Hello, Welcome, Refusal, Ready, Yours, News, Garbage };
-  OutgoingProcess elder{{"n0", "a:1"}};
-  IncomingProcess heir;
-  std::deque<Said> to_elder;
-  std::deque<Said> to_heir;
+  enum class Sent { Hello, Welcome, Rejection, Ready, OwnershipTransfer, JobEvent, Garbage };
+  OutgoingOwnership outgoing{{"n0", "a:1"}};
+  IncomingOwnership incoming;
+  std::deque<Sent> to_outgoing;
+  std::deque<Sent> to_incoming;
   bool linked = false;
-  bool elder_lives = true;
-  bool heir_lives = true;
-  bool elder_accepts = true;
-  bool heir_accepts = false;
-  bool heir_waits = true;  // waits: to ask (again)
-  bool elder_heard_end = true;
-  bool heir_heard_end = true;
+  bool outgoing_lives = true;
+  bool incoming_lives = true;
+  bool outgoing_accepts = true;
+  bool incoming_accepts = false;
+  bool incoming_waits = true;  // waits: to ask (again)
+  bool outgoing_heard_end = true;
+  bool incoming_heard_end = true;
 
   void cut() {  // by whichever side; each hears of it in its own time, after what was on its way
     linked = false;
-    if (elder_lives)
-      elder_heard_end = false;
-    if (heir_lives)
-      heir_heard_end = false;
+    if (outgoing_lives)
+      outgoing_heard_end = false;
+    if (incoming_lives)
+      incoming_heard_end = false;
   }
-  void act(OutgoingProcess::Do what) {
+  void act(OutgoingOwnership::Action what) {
     switch (what) {
-      case OutgoingProcess::Do::Nothing:
+      case OutgoingOwnership::Action::None:
         return;
-      case OutgoingProcess::Do::Welcome:
-        return say(to_heir, Said::Welcome);
-      case OutgoingProcess::Do::Refuse:
-        return say(to_heir, Said::Refusal);
-      case OutgoingProcess::Do::Yield:
-        elder_accepts = false;
-        return say(to_heir, Said::Yours);
-      case OutgoingProcess::Do::TakeBack:
-        elder_accepts = true;
+      case OutgoingOwnership::Action::SendWelcome:
+        return say(to_incoming, Sent::Welcome);
+      case OutgoingOwnership::Action::SendRejection:
+        return say(to_incoming, Sent::Rejection);
+      case OutgoingOwnership::Action::TransferOwnership:
+        outgoing_accepts = false;
+        return say(to_incoming, Sent::OwnershipTransfer);
+      case OutgoingOwnership::Action::Reclaim:
+        outgoing_accepts = true;
         return;
-      case OutgoingProcess::Do::HangUp:
+      case OutgoingOwnership::Action::CloseLink:
         cut();
-        elder_heard_end = true;
-        to_elder.clear();
+        outgoing_heard_end = true;
+        to_outgoing.clear();
         return;
     }
   }
-  void act(IncomingProcess::Do what) {
+  void act(IncomingOwnership::Action what) {
     switch (what) {
-      case IncomingProcess::Do::Nothing:
+      case IncomingOwnership::Action::None:
         return;
-      case IncomingProcess::Do::SayReady:
-        return say(to_elder, Said::Ready);
-      case IncomingProcess::Do::Serve:
-      case IncomingProcess::Do::ServeAlone:
-        heir_accepts = true;
+      case IncomingOwnership::Action::SendReady:
+        return say(to_outgoing, Sent::Ready);
+      case IncomingOwnership::Action::Serve:
+      case IncomingOwnership::Action::ServeAlone:
+        incoming_accepts = true;
         return;
-      case IncomingProcess::Do::HangUp:
+      case IncomingOwnership::Action::CloseLink:
         cut();
-        heir_heard_end = true;
-        to_heir.clear();
-        return act(heir.ended());
-      case IncomingProcess::Do::AskAgain:
-        heir_waits = true;
+        incoming_heard_end = true;
+        to_incoming.clear();
+        return act(incoming.on_link_ended());
+      case IncomingOwnership::Action::AskAgain:
+        incoming_waits = true;
         return;
     }
   }
-  void say(std::deque<Said>& to, Said what) {
+  void say(std::deque<Sent>& to, Sent what) {
     if (linked)
       to.push_back(what);
   }
   // What can happen next; false: that cannot happen now.
   bool step(int what) {
     switch (what) {
-      case 0:  // the heir asks
-        if (!heir_lives || !heir_waits)
+      case 0:  // the incoming process asks
+        if (!incoming_lives || !incoming_waits)
           return false;
-        heir_waits = false;
-        if (!elder_lives)
-          return act(heir.nobody()), true;
-        if (!elder.free() || !elder_heard_end)
-          return heir_waits = true, false;  // hung up on; it asks again
+        incoming_waits = false;
+        if (!outgoing_lives)
+          return act(incoming.on_no_listener()), true;
+        if (!outgoing.can_accept_link() || !outgoing_heard_end)
+          return incoming_waits = true, false;  // hung up on; it asks again
         linked = true;
-        to_elder.clear();
-        to_heir.clear();
-        say(to_elder, Said::Hello);
+        to_outgoing.clear();
+        to_incoming.clear();
+        say(to_outgoing, Sent::Hello);
         return true;
-      case 1: {  // the elder hears something
-        if (!elder_lives || to_elder.empty())
+      case 1: {  // the outgoing process hears something
+        if (!outgoing_lives || to_outgoing.empty())
           return false;
-        Said s = to_elder.front();
-        to_elder.pop_front();
-        if (s == Said::Hello) {
-          act(elder.hello(hot_restart::kVersion, {"n0", "a:1"}));
-        } else if (s == Said::Ready) {
-          act(elder.ready());
-        } else if (s == Said::Garbage) {
-          act(elder.nonsense());
+        Sent s = to_outgoing.front();
+        to_outgoing.pop_front();
+        if (s == Sent::Hello) {
+          act(outgoing.on_hello(hot_restart::kProtocolVersion, {"n0", "a:1"}));
+        } else if (s == Sent::Ready) {
+          act(outgoing.on_ready());
+        } else if (s == Sent::Garbage) {
+          act(outgoing.on_invalid_message());
         }
         return true;
       }
-      case 2: {  // the heir hears something
-        if (!heir_lives || to_heir.empty())
+      case 2: {  // the incoming process hears something
+        if (!incoming_lives || to_incoming.empty())
           return false;
-        Said s = to_heir.front();
-        to_heir.pop_front();
-        if (s == Said::Welcome) {
-          act(heir.welcome());
-        } else if (s == Said::Yours) {
-          act(heir.yours());
-        } else if (s == Said::Garbage) {
-          act(heir.nonsense());
+        Sent s = to_incoming.front();
+        to_incoming.pop_front();
+        if (s == Sent::Welcome) {
+          act(incoming.on_welcome());
+        } else if (s == Sent::OwnershipTransfer) {
+          act(incoming.on_ownership_transfer());
+        } else if (s == Sent::Garbage) {
+          act(incoming.on_invalid_message());
         }
         return true;
       }
       case 3:
-        return heir_lives && !kill(heir_lives, heir_accepts);
+        return incoming_lives && !kill(incoming_lives, incoming_accepts);
       case 4:
-        return elder_lives && !kill(elder_lives, elder_accepts);
+        return outgoing_lives && !kill(outgoing_lives, outgoing_accepts);
       case 5:  // the end of the link is heard, after all that came before it
-        if (!elder_lives || elder_heard_end || !to_elder.empty())
+        if (!outgoing_lives || outgoing_heard_end || !to_outgoing.empty())
           return false;
-        return elder_heard_end = true, act(elder.ended()), true;
+        return outgoing_heard_end = true, act(outgoing.on_link_ended()), true;
       case 6:
-        if (!heir_lives || heir_heard_end || !to_heir.empty())
+        if (!incoming_lives || incoming_heard_end || !to_incoming.empty())
           return false;
-        return heir_heard_end = true, act(heir.ended()), true;
+        return incoming_heard_end = true, act(incoming.on_link_ended()), true;
       case 7:
-        return garble(to_elder);
+        return garble(to_outgoing);
       case 8:
-        return garble(to_heir);
-      case 9:  // what the two talk about once the heir serves
-        if (!linked || heir.state() != IncomingProcess::State::Serving || !to_elder.empty())
+        return garble(to_incoming);
+      case 9:  // what the two talk about once the incoming serves
+        if (!linked || incoming.state() != IncomingOwnership::State::Serving ||
+            !to_outgoing.empty())
           return false;
-        return say(to_elder, Said::News), true;
+        return say(to_outgoing, Sent::JobEvent), true;
       default:
-        if (!linked || elder.state() != OutgoingProcess::State::Yielded || to_heir.size() > 1)
+        if (!linked || outgoing.state() != OutgoingOwnership::State::Transferred ||
+            to_incoming.size() > 1)
           return false;
-        return say(to_heir, Said::News), true;
+        return say(to_incoming, Sent::JobEvent), true;
     }
   }
   bool kill(bool& lives, bool& accepts) {
@@ -165,10 +167,10 @@
       cut();
     return false;
   }
-  bool garble(std::deque<Said>& queue) {
-    if (queue.empty() || queue.front() == Said::Garbage)
+  bool garble(std::deque<Sent>& queue) {
+    if (queue.empty() || queue.front() == Sent::Garbage)
       return false;
-    queue.front() = Said::Garbage;
+    queue.front() = Sent::Garbage;
     return true;
   }
 };
@@ -181,17 +183,17 @@
   long worlds = 0;
   std::function<void(const World&, int, int)> go = [&](const World& w, int depth, int troubles) {
     ++worlds;
-    REQUIRE_FALSE((w.elder_accepts && w.heir_accepts));
+    REQUIRE_FALSE((w.outgoing_accepts && w.incoming_accepts));
     // Left alone from here, whoever lives takes jobs.
     World rest = w;
     for (int i = 0; i < 100; ++i) {
       for (int what : {5, 6, 1, 2, 0})
         rest.step(what);
     }
-    if (rest.elder_lives || rest.heir_lives)
-      REQUIRE((rest.elder_accepts != rest.heir_accepts));
-    if (w.elder_lives && w.heir_lives && troubles == 0)
-      REQUIRE(rest.heir_accepts);
+    if (rest.outgoing_lives || rest.incoming_lives)
+      REQUIRE((rest.outgoing_accepts != rest.incoming_accepts));
+    if (w.outgoing_lives && w.incoming_lives && troubles == 0)
+      REQUIRE(rest.incoming_accepts);
     if (depth == 0)
       return;
     for (int what = 0; what <= 10; ++what) {
@@ -208,13 +210,16 @@
 }
 
 TEST_CASE("another version and another dispatcher are turned away") {
-  OutgoingProcess elder({"n0", "a:1"});
-  CHECK(elder.hello(hot_restart::kVersion + 1, {"n0", "a:1"}) == OutgoingProcess::Do::Refuse);
-  CHECK(elder.hello(hot_restart::kVersion, {"n1", "a:1"}) == OutgoingProcess::Do::Refuse);
-  CHECK(elder.hello(hot_restart::kVersion, {"n0", "a:2"}) == OutgoingProcess::Do::Refuse);
-  CHECK(elder.free());
-  IncomingProcess heir;
-  CHECK(heir.refused() == IncomingProcess::Do::ServeAlone);
+  OutgoingOwnership outgoing({"n0", "a:1"});
+  CHECK(outgoing.on_hello(hot_restart::kProtocolVersion + 1, {"n0", "a:1"}) ==
+        OutgoingOwnership::Action::SendRejection);
+  CHECK(outgoing.on_hello(hot_restart::kProtocolVersion, {"n1", "a:1"}) ==
+        OutgoingOwnership::Action::SendRejection);
+  CHECK(outgoing.on_hello(hot_restart::kProtocolVersion, {"n0", "a:2"}) ==
+        OutgoingOwnership::Action::SendRejection);
+  CHECK(outgoing.can_accept_link());
+  IncomingOwnership incoming;
+  CHECK(incoming.on_rejection() == IncomingOwnership::Action::ServeAlone);
 }
 
 // ---- As processes ----
