--- a/src/fleet/load_gossip.cpp
+++ b/src/fleet/load_gossip.cpp
@@ -10,224 +10,279 @@
 namespace {
 
 constexpr unsigned kVersion = 1;
-constexpr int kMostTold = 15;
-constexpr std::size_t kEntry = 3;
-constexpr std::size_t kNear = 8;
+constexpr int kMaxAnnounced = 15;  // four bits
+constexpr std::size_t kEntryBytes = 3;
+constexpr std::size_t kNeighborhoodSize = 8;
+
+struct Entry {
+  unsigned version = 0;
+  int jobs = 0;
+  std::uint16_t worker = 0;
+};
+
+Entry read_entry(std::string_view message, std::size_t offset) {
+  auto byte = [&](std::size_t index) -> unsigned {
+    return static_cast<unsigned char>(message[offset + index]);
+  };
+  return {.version = byte(0) >> 4,
+          .jobs = static_cast<int>(byte(0) & 0xf),
+          .worker = static_cast<std::uint16_t>(byte(1) << 8 | byte(2))};
+}
+
+// Nothing where any of the message is invalid.
+std::optional<std::vector<Entry>> decode(std::string_view message) {
+  if (message.empty() || message.size() > kLongest || message.size() % kEntryBytes != 0)
+    return std::nullopt;
+  std::vector<Entry> entries;
+  entries.reserve(message.size() / kEntryBytes);
+  for (std::size_t offset = 0; offset < message.size(); offset += kEntryBytes) {
+    Entry entry = read_entry(message, offset);
+    if (entry.version != kVersion)
+      return std::nullopt;
+    entries.push_back(entry);
+  }
+  return entries;
+}
 
 }  // namespace
 
-// Those with the least hash of the two numbers: no order, so that the groups of different workers
-// overlap in all ways and a crowd at one dispatcher spreads over the whole fleet.
+// Rendezvous hashing: the dispatchers with the least hash of worker and index. Neighborhoods of
+// different workers overlap in all ways, so that a burst at one dispatcher spreads over the fleet.
 std::vector<int> near_to(std::string_view worker, int dispatchers) {
-  std::vector<std::pair<std::uint64_t, int>> order;
+  struct Candidate {
+    std::uint64_t hash = 0;
+    int dispatcher = 0;
+    auto operator<=>(const Candidate&) const = default;
+  };
+  std::vector<Candidate> candidates;
   for (int i = 0; i < dispatchers; ++i) {
-    order.emplace_back(
-        XXH3_64bits_withSeed(worker.data(), worker.size(), static_cast<XXH64_hash_t>(i) + 1), i);
+    XXH64_hash_t seed = static_cast<XXH64_hash_t>(i) + 1;
+    candidates.push_back({XXH3_64bits_withSeed(worker.data(), worker.size(), seed), i});
   }
-  std::size_t many = std::min(kNear, order.size());
-  std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(many), order.end());
-  std::vector<int> near;
-  for (std::size_t i = 0; i < many; ++i)
-    near.push_back(order[i].second);
-  return near;
+  std::size_t size = std::min(kNeighborhoodSize, candidates.size());
+  std::ranges::partial_sort(candidates, candidates.begin() + static_cast<std::ptrdiff_t>(size));
+  std::vector<int> neighborhood;
+  for (std::size_t i = 0; i < size; ++i)
+    neighborhood.push_back(candidates[i].dispatcher);
+  return neighborhood;
 }
 
-// The same at every dispatcher. Of two workers with one short name only the first has news, in
-// which what is at the second is mixed: a wrong guess of its load, no more.
-std::uint16_t LoadGossip::short_name(std::string_view worker) {
-  return static_cast<std::uint16_t>(XXH3_64bits(worker.data(), worker.size()));
+// The same at every dispatcher. Where two workers share a short name, only the first is gossiped
+// about, and jobs at the second count for it: a wrong estimate of its load, nothing worse.
+LoadGossip::ShortName LoadGossip::short_name(std::string_view worker) {
+  return static_cast<ShortName>(XXH3_64bits(worker.data(), worker.size()));
 }
 
-int LoadGossip::Worker::sum() const {
-  int all = 0;
+int LoadGossip::Worker::claimed_jobs() const {
+  int sum = 0;
   for (const auto& [sender, claim] : claims)
-    all += claim.jobs;
-  return std::min(all, kMostThere);
+    sum += claim.jobs;
+  return std::min(sum, kMostThere);
 }
 
 void LoadGossip::list(const std::vector<std::string>& workers, const Changed& changed) {
-  std::set<std::uint16_t> named;
+  std::set<ShortName> listed;
   for (const std::string& worker : workers) {
-    named.insert(short_name(worker));
-    auto [it, fresh] = workers_.try_emplace(short_name(worker));
-    if (!fresh)
-      continue;
-    it->second.name = worker;
-    std::vector<int> near = near_to(worker, dispatchers_);
-    if (std::erase(near, self_) == 0)
-      near.clear();
-    for (int i : near)
-      it->second.told[i] = 0;
-    if (!near.empty())
-      changed(worker, 0);
-  }
-  std::erase_if(workers_, [&](const auto& w) { return !named.contains(w.first); });
-  std::erase_if(waiting_, [&](std::uint16_t name) { return !named.contains(name); });
-  near_.clear();
-  for (auto& [name, w] : workers_) {
-    if (!w.told.empty())
-      near_[name] = &w;
+    ShortName name = short_name(worker);
+    listed.insert(name);
+    if (!workers_.contains(name))
+      add_worker(name, worker, changed);
   }
-  of_one_.clear();
-  for (const auto& [name, w] : workers_) {
-    for (const auto& [sender, claim] : w.claims)
-      of_one_[sender] += claim.jobs;
+  std::erase_if(workers_, [&](const auto& entry) { return !listed.contains(entry.first); });
+  std::erase_if(pending_, [&](ShortName name) { return !listed.contains(name); });
+  rebuild_indexes();
+}
+
+void LoadGossip::add_worker(ShortName name, const std::string& worker, const Changed& changed) {
+  Worker& added = workers_[name];
+  added.name = worker;
+  std::vector<int> neighbors = near_to(worker, dispatchers_);
+  if (std::erase(neighbors, self_) == 0 || neighbors.empty())
+    return;
+  for (int neighbor : neighbors)
+    added.notified[neighbor] = 0;
+  changed(worker, 0);
+}
+
+void LoadGossip::rebuild_indexes() {
+  neighborhood_.clear();
+  claimed_by_.clear();
+  for (auto& [name, worker] : workers_) {
+    if (!worker.notified.empty())
+      neighborhood_[name] = &worker;
+    for (const auto& [sender, claim] : worker.claims)
+      claimed_by_[sender] += claim.jobs;
   }
 }
 
-bool LoadGossip::untold(const Worker& w) const {
-  return std::ranges::any_of(
-      w.told, [&](const auto& t) { return t.second != w.jobs && !away_.contains(t.first); });
+bool LoadGossip::has_unnotified(const Worker& worker) const {
+  return std::ranges::any_of(worker.notified, [&](const auto& entry) {
+    const auto& [listener, count] = entry;
+    return count != worker.announced && !unreachable_.contains(listener);
+  });
 }
 
-std::string LoadGossip::entry(std::uint16_t name, const Worker& w) {
-  return {static_cast<char>(kVersion << 4 | static_cast<unsigned>(w.jobs)),
+std::string LoadGossip::encode_entry(ShortName name, const Worker& worker) {
+  return {static_cast<char>(kVersion << 4 | static_cast<unsigned>(worker.announced)),
           static_cast<char>(name >> 8), static_cast<char>(name & 0xff)};
 }
 
 std::vector<int> LoadGossip::listeners(const std::string& worker) const {
   std::vector<int> all;
   if (auto it = workers_.find(short_name(worker)); it != workers_.end()) {
-    for (const auto& [listener, told] : it->second.told)
+    for (const auto& [listener, count] : it->second.notified)
       all.push_back(listener);
   }
   return all;
 }
 
 void LoadGossip::announce(Time now, const std::string& worker, int jobs) {
-  auto it = workers_.find(short_name(worker));
-  if (it == workers_.end() || it->second.told.empty())
+  ShortName name = short_name(worker);
+  auto it = workers_.find(name);
+  if (it == workers_.end() || it->second.notified.empty())
     return;
-  Worker& w = it->second;
-  if (!waiting_.contains(it->first))
-    w.changed = now;
-  w.jobs = std::clamp(jobs, 0, kMostTold);
-  w.used |= jobs > 0;
-  if (untold(w)) {
-    waiting_.insert(it->first);
+  Worker& entry = it->second;
+  if (!pending_.contains(name))
+    entry.pending_since = now;
+  entry.announced = std::clamp(jobs, 0, kMaxAnnounced);
+  entry.ever_used |= jobs > 0;
+  if (has_unnotified(entry)) {
+    pending_.insert(name);
   } else {
-    waiting_.erase(it->first);  // a new job has taken the place of the one that ended
+    pending_.erase(name);  // the count is again what all were notified of
   }
 }
 
-bool LoadGossip::somebody_idle() const {
-  return std::ranges::any_of(near_, [](const auto& w) {
-    return w.second->used && w.second->jobs == 0 && w.second->claims.empty();
+bool LoadGossip::any_idle() const {
+  return std::ranges::any_of(neighborhood_, [](const auto& entry) {
+    const Worker& worker = *entry.second;
+    return worker.ever_used && worker.announced == 0 && worker.claims.empty();
   });
 }
 
-std::vector<LoadGossip::Message> LoadGossip::due(Time now, std::size_t room) {
-  if (now - looked_ >= kLeft) {
-    looked_ = now;
-    for (auto& [name, w] : near_) {  // one may have been lost, and none counts for ever
-      if (w->jobs > 0 && now - w->said >= kKept / 2) {
-        for (auto& [listener, told] : w->told)
-          told = 0;
-        waiting_.insert(name);
-      }
-    }
+// A message may have been lost, and no claim lasts for ever.
+void LoadGossip::repeat_unchanged(Time now) {
+  if (now - last_repeat_check_ < kLeft)
+    return;
+  last_repeat_check_ = now;
+  for (auto& [name, worker] : neighborhood_) {
+    if (worker->announced == 0 || now - worker->last_sent < kKept / 2)
+      continue;
+    for (auto& [listener, count] : worker->notified)
+      count = 0;
+    pending_.insert(name);
   }
-  if (waiting_.empty())
-    return {};
-  std::optional<bool> idle;  // looked at where something has fallen
-  std::map<int, std::string> out;
-  for (std::uint16_t name : waiting_) {
-    const Worker& w = workers_.at(name);
-    bool rose = std::ranges::any_of(w.told, [&](const auto& t) { return t.second < w.jobs; });
-    if (!rose && now - w.changed < kLeft) {
+}
+
+std::set<int> LoadGossip::listeners_due(Time now) const {
+  std::optional<bool> idle;  // computed where it is needed: it looks at the whole neighborhood
+  std::set<int> due;
+  for (ShortName name : pending_) {
+    const Worker& worker = workers_.at(name);
+    bool rose = std::ranges::any_of(
+        worker.notified, [&](const auto& entry) { return entry.second < worker.announced; });
+    if (!rose && now - worker.pending_since < kLeft) {
       if (!idle)
-        idle = somebody_idle();
+        idle = any_idle();
       if (*idle)
         continue;
     }
-    for (const auto& [listener, told] : w.told) {
-      if (told != w.jobs && !away_.contains(listener))
-        out[listener];
+    for (const auto& [listener, count] : worker.notified) {
+      if (count != worker.announced && !unreachable_.contains(listener))
+        due.insert(listener);
     }
   }
+  return due;
+}
+
+std::vector<LoadGossip::Message> LoadGossip::due(Time now, std::size_t room) {
+  repeat_unchanged(now);
   std::vector<Message> messages;
-  for (auto& [listener, bytes] : out) {
-    while (!(bytes = riding(now, listener, room)).empty())
-      messages.push_back({listener, std::move(bytes)});
+  for (int listener : listeners_due(now)) {
+    std::string bytes = riding(now, listener, room);
+    while (!bytes.empty()) {
+      messages.push_back({.to = listener, .bytes = std::move(bytes)});
+      bytes = riding(now, listener, room);
+    }
   }
   return messages;
 }
 
 std::string LoadGossip::riding(Time now, int listener, std::size_t room) {
   std::string out;
-  for (auto it = waiting_.begin(); it != waiting_.end() && out.size() + kEntry <= room;) {
-    Worker& w = workers_.at(*it);
-    if (auto t = w.told.find(listener); t != w.told.end() && t->second != w.jobs) {
-      out += entry(*it, w);
-      t->second = w.jobs;
-      w.said = now;
+  for (auto it = pending_.begin(); it != pending_.end() && out.size() + kEntryBytes <= room;) {
+    Worker& worker = workers_.at(*it);
+    auto notified = worker.notified.find(listener);
+    if (notified != worker.notified.end() && notified->second != worker.announced) {
+      out += encode_entry(*it, worker);
+      notified->second = worker.announced;
+      worker.last_sent = now;
     }
-    it = untold(w) ? std::next(it) : waiting_.erase(it);
+    it = has_unnotified(worker) ? std::next(it) : pending_.erase(it);
   }
   return out;
 }
 
 void LoadGossip::hears(int listener, bool there) {
   if (!there) {
-    away_.insert(listener);
-    std::erase_if(waiting_, [this](std::uint16_t name) { return !untold(workers_.at(name)); });
+    unreachable_.insert(listener);
+    std::erase_if(pending_, [this](ShortName name) { return !has_unnotified(workers_.at(name)); });
     return;
   }
-  away_.erase(listener);
-  for (auto& [name, w] : near_) {
-    if (auto t = w->told.find(listener); t != w->told.end()) {
-      t->second = 0;
-      if (untold(*w))
-        waiting_.insert(name);
-    }
+  unreachable_.erase(listener);
+  for (auto& [name, worker] : neighborhood_) {
+    auto notified = worker->notified.find(listener);
+    if (notified == worker->notified.end())
+      continue;
+    notified->second = 0;
+    if (has_unnotified(*worker))
+      pending_.insert(name);
   }
 }
 
 bool LoadGossip::take(Time now, std::size_t sender, std::string_view message,
                       const Changed& changed) {
-  if (message.empty() || message.size() > kLongest || message.size() % kEntry != 0)
+  auto entries = decode(message);
+  if (!entries)
     return false;
-  for (std::size_t i = 0; i < message.size(); i += kEntry) {
-    if (static_cast<unsigned char>(message[i]) >> 4 != kVersion)
-      return false;
-  }
-  for (std::size_t i = 0; i < message.size(); i += kEntry) {
-    auto byte = [&](std::size_t k) {
-      return static_cast<unsigned char>(message[i + k]);
-    };
-    auto it = workers_.find(static_cast<std::uint16_t>(byte(1) << 8 | byte(2)));
-    if (it == workers_.end() || it->second.told.empty())
-      continue;  // not on our list (yet, or any more)
-    Worker& w = it->second;
-    int before = w.sum();
-    int jobs = byte(0) & 15;
-    int& believed = of_one_[sender];
-    Claim& claim = w.claims[sender];
-    believed -= claim.jobs;
-    // Guards against a dispatcher that has lost count, or is not one: it cannot make the whole
-    // fleet look full.
-    claim = {std::min(jobs, kMostOfOne - believed), now};
-    believed += claim.jobs;
-    w.used |= jobs > 0;
-    if (claim.jobs == 0)
-      w.claims.erase(sender);
-    if (w.sum() != before)
-      changed(w.name, w.sum());
+  for (const Entry& entry : *entries) {
+    auto it = workers_.find(entry.worker);
+    if (it != workers_.end() && !it->second.notified.empty())
+      apply_claim(now, sender, it->second, entry.jobs, changed);
   }
   return true;
 }
 
+void LoadGossip::apply_claim(Time now, std::size_t sender, Worker& worker, int jobs,
+                             const Changed& changed) {
+  int before = worker.claimed_jobs();
+  int& claimed = claimed_by_[sender];
+  Claim& claim = worker.claims[sender];
+  claimed -= claim.jobs;
+  // A faulty or foreign sender must not make the whole fleet look full.
+  claim = {.jobs = std::min(jobs, kMostOfOne - claimed), .received_at = now};
+  claimed += claim.jobs;
+  worker.ever_used |= jobs > 0;
+  if (claim.jobs == 0)
+    worker.claims.erase(sender);
+  int after = worker.claimed_jobs();
+  if (after != before)
+    changed(worker.name, after);
+}
+
 void LoadGossip::expire(Time now, const Changed& changed) {
-  for (auto& [name, w] : workers_) {
-    int before = w.sum();
-    for (auto it = w.claims.begin(); it != w.claims.end();) {
-      bool old = now - it->second.at > kKept;
-      if (old)
-        of_one_[it->first] -= it->second.jobs;
-      it = old ? w.claims.erase(it) : std::next(it);
-    }
-    if (w.sum() != before)
-      changed(w.name, w.sum());
+  for (auto& [name, worker] : workers_) {
+    int before = worker.claimed_jobs();
+    std::erase_if(worker.claims, [&](const auto& entry) {
+      const auto& [sender, claim] = entry;
+      bool expired = now - claim.received_at > kKept;
+      if (expired)
+        claimed_by_[sender] -= claim.jobs;
+      return expired;
+    });
+    int after = worker.claimed_jobs();
+    if (after != before)
+      changed(worker.name, after);
   }
 }
 
--- a/src/fleet/load_gossip.h
+++ b/src/fleet/load_gossip.h
@@ -1,16 +1,18 @@
-// What dispatchers tell each other of the jobs they have at workers, so that each knows what
-// the others put where since the last load report: the message, and the sums of what was heard. No
-// sockets; time comes from the caller.
+// Gossip of the number of jobs that each dispatcher has at a worker, so that the others know of
+// them before the next load report: the messages, and the sums of what was received. An estimate
+// that serves scheduling only as a hint.
 //
-// A message is a row of entries of three bytes: the format's version in the upper and the number of
-// jobs (15: that or more) in the lower half of the first, then a short name of the worker. An entry
-// tells what the sender has there now, so that one lost, doubled or late does no lasting harm, and
-// what is not told again within kKept is forgotten. All of it is gossip: a guess of others' work
-// and nothing else.
+// A message is a sequence of entries of three bytes: format version in the upper and number of jobs
+// in the lower half of the first (15: that many or more), then the worker's short name in network
+// byte order. An entry states a current count, so lost, duplicate or late ones do no lasting harm;
+// one that is not repeated within kKept expires.
+//
+// Pure: bytes and time in, bytes and events out. Not thread-safe.
 #pragma once
 
 #include "dispatcher/scheduling/scheduler.h"
 
+#include <cstddef>
 #include <cstdint>
 #include <functional>
 #include <map>
@@ -25,83 +27,96 @@
 using scheduling::Duration;
 using scheduling::Time;
 
-// The numbers of the `dispatchers` that are near to a worker: they look at it first, and tell each
-// other what they have there. The same wherever it is asked, as many for each worker, and about as
-// many workers for each. All of them in a small fleet.
+// Indices, among `dispatchers`, of a worker's assigned neighborhood: they prefer this worker and
+// notify each other of their jobs there. The same at every dispatcher, of the same size for each
+// worker, evenly spread; in a small fleet all dispatchers.
 std::vector<int> near_to(std::string_view worker, int dispatchers);
 
 inline constexpr std::size_t kLongest = 255;  // bytes of a message
-inline constexpr Duration kKept{10000};       // an entry counts for, unless the next comes before
-inline constexpr Duration kLeft{
-    300};  // a count that fell waits, at most; about as long as a short job lasts
-inline constexpr int kMostOfOne =
-    64;  // jobs that one sender is believed to have, all workers together
-inline constexpr int kMostThere = 255;  // and all senders at one worker
+inline constexpr Duration kKept{10'000};      // lifetime of a received entry
+inline constexpr Duration kLeft{300};         // longest delay of a fallen count: a short job's time
+inline constexpr int kMostOfOne = 64;         // jobs counted for one sender at all workers together
+inline constexpr int kMostThere = 255;        // jobs counted at one worker for all senders together
 
 class LoadGossip {
  public:
-  using Changed = std::function<void(const std::string& worker, int jobs)>;  // of all others there
+  // Reports the jobs of all other dispatchers at a worker.
+  using Changed = std::function<void(const std::string& worker, int jobs)>;
 
-  // `self`: our own number among `dispatchers`.
+  // `self`: index of this dispatcher among `dispatchers`.
   LoadGossip(int self, int dispatchers) : self_(self), dispatchers_(dispatchers) {}
 
-  LoadGossip(LoadGossip&&) = default;  // not copied: near_ points into workers_
+  LoadGossip(LoadGossip&&) = default;  // not copied: neighborhood_ points into workers_
   LoadGossip& operator=(LoadGossip&&) = default;
 
-  // All that the own list names: no other is spoken of. Those that are new and near are told as
-  // changed, with 0.
+  // Replaces the endpoint list; gossip on other workers is ignored. Reports 0 jobs for each new
+  // worker whose neighborhood this dispatcher belongs to.
   void list(const std::vector<std::string>& workers, const Changed& changed);
-  // The others that are near to a worker, and so told of what we have there; nobody unless we are
-  // near ourselves.
+  // Other dispatchers that are notified of jobs at this worker.
   std::vector<int> listeners(const std::string& worker) const;
-  void announce(Time now, const std::string& worker, int jobs);  // so many of our own are there now
+  // Records the number of this dispatcher's own jobs at a worker.
+  void announce(Time now, const std::string& worker, int jobs);
+
   struct Message {
-    int to = 0;  // a dispatcher's number
+    int to = 0;  // index of a dispatcher
     std::string bytes;
   };
-  // What is to be told by now; called after announce(), and each kLeft / 2 where nothing else
-  // happens. A count that rose goes at once. One that fell waits for a message to the same listener
-  // while somebody near has nothing to do, since nobody then waits for the slot. What stands is
-  // told again at half of kKept.
-  std::vector<Message> due(Time now, std::size_t room = kLongest);  // room: bytes of one message
-  // What waits for this listener, for a datagram that goes there anyway; at most `room` bytes.
+  // Returns the messages to send now, each at most `room` bytes. Call after announce(), and every
+  // kLeft / 2 while waits(). A count that rose is sent at once. One that fell waits up to kLeft for
+  // another message to the same listener while some worker of the neighborhood is idle, as nobody
+  // then waits for the free slot. A count that stays is repeated at half of kKept.
+  std::vector<Message> due(Time now, std::size_t room = kLongest);
+  // Returns what waits for this listener, at most `room` bytes, to travel in another datagram.
   std::string riding(Time now, int listener, std::size_t room);
-  bool waits() const { return !waiting_.empty(); }
-  // Whether it is there to be told. One that comes, or comes back, is told all anew.
+  // Some listener is still to be notified.
+  bool waits() const { return !pending_.empty(); }
+
+  // Sets whether a listener is reachable. One that becomes reachable is notified of all counts.
   void hears(int listener, bool there);
-  bool away(int listener) const { return away_.contains(listener); }
-  // False: not a message of ours, and nothing of it counts.
+  bool away(int listener) const { return unreachable_.contains(listener); }
+
+  // Handles a received message. False: it is invalid and was ignored.
   bool take(Time now, std::size_t sender, std::string_view message, const Changed& changed);
+  // Drops received entries older than kKept.
   void expire(Time now, const Changed& changed);
 
  private:
+  using ShortName = std::uint16_t;
+  // Jobs of another dispatcher at a worker.
   struct Claim {
     int jobs = 0;
-    Time at{};
+    Time received_at{};
   };
   struct Worker {
     std::string name;
-    int jobs = 0;       // our own, as far as can be told
-    bool used = false;  // somebody has had a job there
-    Time changed{};
-    Time said{};                          // our own jobs, since they were told to all
-    std::map<int, int> told;              // to each listener; empty: not near
+    int announced = 0;       // own jobs, up to what an entry can state
+    bool ever_used = false;  // by any dispatcher
+    Time pending_since{};
+    Time last_sent{};
+    std::map<int, int> notified;          // count last sent, by listener; empty: not in its
+                                          // neighborhood
     std::map<std::size_t, Claim> claims;  // by sender
-    int sum() const;
+    int claimed_jobs() const;
   };
-  static std::uint16_t short_name(std::string_view worker);
-  static std::string entry(std::uint16_t name, const Worker& worker);
-  bool untold(const Worker& worker) const;  // to somebody who is there
-  bool somebody_idle() const;
+
+  static ShortName short_name(std::string_view worker);
+  static std::string encode_entry(ShortName name, const Worker& worker);
+  void add_worker(ShortName name, const std::string& worker, const Changed& changed);
+  void rebuild_indexes();
+  bool has_unnotified(const Worker& worker) const;  // among reachable listeners
+  bool any_idle() const;
+  void repeat_unchanged(Time now);
+  std::set<int> listeners_due(Time now) const;
+  void apply_claim(Time now, std::size_t sender, Worker& worker, int jobs, const Changed& changed);
 
   int self_;
   int dispatchers_;
-  std::unordered_map<std::uint16_t, Worker> workers_;
-  std::map<std::uint16_t, Worker*> near_;  // those of workers_ that we are near to: few of many
-  std::set<int> away_;                     // listeners
-  std::set<std::uint16_t> waiting_;        // workers of which somebody near is to be told
-  Time looked_{};                          // for what stands
-  std::unordered_map<std::size_t, int> of_one_;  // jobs believed, by sender
+  std::unordered_map<ShortName, Worker> workers_;
+  std::map<ShortName, Worker*> neighborhood_;  // workers with this dispatcher in their neighborhood
+  std::set<int> unreachable_;                  // listeners
+  std::set<ShortName> pending_;                // workers with listeners still to be notified
+  Time last_repeat_check_{};
+  std::unordered_map<std::size_t, int> claimed_by_;  // jobs at all workers, by sender
 };
 
 }  // namespace dispatcher::fleet
