--- /dev/null
+++ b/src/http/client_server_hot_restart.cpp
@@ -0,0 +1,83 @@
+// Connections that move between the two processes of a hot restart.
+#include "http/client_server.h"
+
+namespace dispatcher::http {
+
+using transport::SlotRef;
+
+void ClientServer::pass_on(PassOn pass) {
+  pass_on_ = std::move(pass);
+  std::vector<SlotRef> connections;
+  for (const auto& [connection, session] : sessions_)
+    connections.push_back(connection);
+  for (SlotRef connection : connections)
+    try_pass_on(connection);
+}
+
+bool ClientServer::try_pass_on(SlotRef connection) {
+  Session* session = find(connection);
+  if (!pass_on_ || !session || session->is_busy() || session->resume.order != 0)
+    return false;
+  std::optional<std::string> unread = session->parser.unread();
+  if (!unread)
+    return false;
+  transport::Descriptor descriptor = platform_.network.release(connection);
+  if (!descriptor)
+    return false;
+  bool used = !without_request_.contains(session->age);
+  remove_session(connection);
+  pass_on_(std::move(descriptor), std::move(*unread), used);
+  return true;
+}
+
+std::optional<ClientServer::ReleasedConnection> ClientServer::release_connection(
+    routing::RequestRef request) {
+  auto it = connection_of_.find(request);
+  if (it == connection_of_.end())
+    return std::nullopt;
+  SlotRef connection = it->second;
+  Session& session = sessions_.at(connection);
+  std::optional<std::string> unread = session.parser.unread();
+  if (session.transfer || !unread)
+    return std::nullopt;
+  ReleasedConnection released{.connection = platform_.network.release(connection),
+                              .unread = std::move(*unread),
+                              .keep_alive = session.keep_alive,
+                              .old = session.http_1_0};
+  if (!released.connection)
+    return std::nullopt;
+  connection_of_.erase(it);
+  remove_session(connection);
+  return released;
+}
+
+void ClientServer::adopt(SlotRef connection, std::string_view unread, bool used) {
+  if (used) {
+    open_session(connection);
+  } else {
+    on_accepted(connection);
+  }
+  on_bytes(connection, unread);
+}
+
+void ClientServer::adopt_request_connection(SlotRef connection, const ReleasedConnection& released,
+                                            std::function<void()> on_client_left) {
+  Session& session = open_session(connection);
+  session.keep_alive = released.keep_alive;
+  session.http_1_0 = released.old;
+  session.awaits_other_process = true;
+  session.on_client_left = std::move(on_client_left);
+  feed_parser(session, released.unread);
+}
+
+void ClientServer::answer_adopted(SlotRef connection, int status, std::string_view body) {
+  Session* session = find(connection);
+  if (!session)
+    return;
+  session->awaits_other_process = false;
+  session->on_client_left = nullptr;
+  respond(connection, status, {}, body);
+  process_messages(connection);
+}
+
+}  // namespace dispatcher::http
--- a/src/http/client_server_streams.cpp
+++ b/src/http/client_server_streams.cpp
@@ -1,5 +1,5 @@
-// The client side of bodies that pass through: a client is the source of its upload and the sink of
-// its reply.
+// Relayed bodies on the client's side: a client is the source of its upload and the sink of its
+// reply.
 #include "http/client_server.h"
 
 namespace dispatcher::http {
@@ -9,244 +9,252 @@
 using protocol::Message;
 using transport::SlotRef;
 
-// Each order owns the memory for a reply that passes through, and where its body does, for that:
-// nothing that has begun ever waits for memory that another holds.
-bool ClientServer::give_pipes(HttpRequestPayload& cargo, bool uploads) {
-  if (!on_streams_)
+// Reserves the memory for the reply, and for the upload where its body is relayed, before the
+// request is scheduled: a body that has begun never waits for memory that another holds.
+bool ClientServer::open_pipes(HttpRequestPayload& payload, bool uploads) {
+  if (!streaming_)
     return true;
-  streaming::Budget& budget = *on_streams_->budget;
+  streaming::Budget& budget = *streaming_->budget;
   if (!budget.spare(uploads ? 2 : 1))
     return false;
   if (uploads)
-    cargo.upload = std::make_shared<streaming::Pipe>(*budget.open(), on_streams_->replay_bytes);
-  cargo.reply = std::make_shared<streaming::Pipe>(*budget.open());
+    payload.upload = std::make_shared<streaming::Pipe>(*budget.open(), streaming_->replay_bytes);
+  payload.reply = std::make_shared<streaming::Pipe>(*budget.open());
   return true;
 }
 
-// A deadline beyond the class's is for the way of the body: the scheduler counts with the class's
-// patience.
-void ClientServer::stretch_patience(scheduling::Request& request) const {
-  scheduling::Duration left = std::min(request.timeout, on_streams_->longest);
+// The scheduler counts with at most the timeout of the class; what exceeds it is for the transfer
+// of the body.
+void ClientServer::split_timeout(scheduling::Request& request) const {
+  scheduling::Duration left = std::min(request.timeout, streaming_->longest);
   request.streamed = true;
-  request.timeout = std::min(left, on_.words.deadlines[request.job_class]);
+  request.timeout = std::min(left, platform_.words.deadlines[request.job_class]);
   request.transfer = left - request.timeout;
 }
 
-void ClientServer::begin_upload(SlotRef at, Session& s, std::shared_ptr<streaming::Pipe> upload,
-                                std::string_view first, bool expects) {
-  s.transfer = std::make_unique<Transfer>();
-  Transfer& t = *s.transfer;
-  t.reader = s.parser.pass();
-  t.expects = expects && !t.reader.done();
-  t.upload = std::move(upload);
-  t.upload->append(first);
-  t.upload->on_room = [this, at] {
-    upload_room(at);
+// `message`: the head of the request and the part of its body that came with it.
+void ClientServer::begin_upload(SlotRef connection, Session& session,
+                                std::shared_ptr<streaming::Pipe> upload, const Message& message) {
+  session.transfer = std::make_unique<Transfer>();
+  Transfer& transfer = *session.transfer;
+  transfer.upload_reader = session.parser.pass();
+  bool expects = protocol::same_name(message.header("Expect"), "100-continue");
+  transfer.awaits_continue = expects && !transfer.upload_reader.done();
+  transfer.upload = std::move(upload);
+  transfer.upload->append(message.body);
+  transfer.upload->on_room = [this, connection] {
+    grant_upload(connection);
   };
-  watch_stall(at, t);
-  if (t.reader.done()) {
-    t.upload->finish();
+  schedule_stall_check(connection, transfer);
+  if (transfer.upload_reader.done()) {
+    transfer.upload->finish();
   } else {
-    upload_room(at);
+    grant_upload(connection);
   }
 }
 
-// The client may send as much as the pipe has room for, and what it sends beyond waits in the
-// network.
-void ClientServer::upload_room(SlotRef at) {
-  auto it = sessions_.find(at);
-  if (it == sessions_.end() || !it->second.transfer)
+// Reads as much of the upload as the pipe has capacity for; the rest waits in the network.
+void ClientServer::grant_upload(SlotRef connection) {
+  Session* session = find(connection);
+  if (!session || !session->transfer)
     return;
-  Transfer& t = *it->second.transfer;
-  if (!t.upload || t.reader.done())
+  Transfer& transfer = *session->transfer;
+  if (!transfer.upload || transfer.upload_reader.done())
     return;
-  if (t.expects && t.upload->wanted()) {
-    t.expects = false;
-    on_.network.send(at, protocol::write_response(100, {}, {}, true));
+  if (transfer.awaits_continue && transfer.upload->wanted()) {
+    transfer.awaits_continue = false;
+    platform_.network.send(connection, protocol::write_response(100, {}, {}, true));
   }
-  std::size_t room = t.upload->room();
-  on_.network.grant(at, room);
-  t.uploads.wait(on_.clock.now(), room > 0 && !t.expects);
+  std::size_t capacity = transfer.upload->room();
+  platform_.network.grant(connection, capacity);
+  transfer.upload_stall.set_waiting(platform_.clock.now(),
+                                    capacity > 0 && !transfer.awaits_continue);
 }
 
-void ClientServer::on_upload(SlotRef at, Session& s, std::string_view bytes) {
-  Transfer& t = *s.transfer;
-  if (!t.upload)
-    return;  // answered before it was whole: what comes is thrown away
-  std::shared_ptr<streaming::Pipe> upload = t.upload;  // what is told below may end the transfer
+void ClientServer::on_upload_bytes(SlotRef connection, Session& session, std::string_view bytes) {
+  Transfer& transfer = *session.transfer;
+  // A copy: the pipe's callbacks below may end the transfer.
+  std::shared_ptr<streaming::Pipe> upload = transfer.upload;
   std::size_t used = 0;
-  t.uploads.moved(on_.clock.now());
+  transfer.upload_stall.record_progress(platform_.clock.now());
   try {
-    used = t.reader.read(bytes, [&](std::string_view body) { upload->append(body); });
-    if (upload->appended() > kLong)
-      on_.network.bulk(at, true);
-  } catch (const protocol::HttpError& e) {
-    return abort_upload(at, e.status, e.what());
+    auto append = [&](std::string_view body) {
+      upload->append(body);
+    };
+    used = transfer.upload_reader.read(bytes, append);
+    if (upload->appended() > kBulkThresholdBytes)
+      platform_.network.bulk(connection, true);
+  } catch (const protocol::HttpError& error) {
+    return abort_upload(connection, error.status, error.what());
   }
-  auto it = sessions_.find(at);
-  if (it == sessions_.end() || !it->second.transfer || !it->second.transfer->upload)
+  Session* open = find(connection);
+  if (!open || !open->transfer || !open->transfer->upload)
     return;
-  if (!it->second.transfer->reader.done())
-    return upload_room(at);
-  it->second.transfer->uploads.wait(on_.clock.now(), false);
-  feed(it->second, bytes.substr(used));
-  hold(at, it->second, false);
-  on_.network.hold(at, false);
+  if (!open->transfer->upload_reader.done())
+    return grant_upload(connection);
+  open->transfer->upload_stall.set_waiting(platform_.clock.now(), false);
+  feed_parser(*open, bytes.substr(used));
+  pause_reading(connection, *open, false);
+  platform_.network.hold(connection, false);
   upload->finish();
 }
 
-// The body makes no sense or does not come: nothing of it has begun. Its attempt is cancelled
-// first, so that the memory is back and the worker knows.
-void ClientServer::abort_upload(SlotRef at, int status, const std::string& why) {
-  auto it = sessions_.find(at);
-  if (it == sessions_.end())
+// The upload is malformed or stalled, so that its job cannot have begun. The attempt is cancelled
+// before the response: that frees the memory and informs the worker.
+void ClientServer::abort_upload(SlotRef connection, int status, const std::string& reason) {
+  Session* session = find(connection);
+  if (!session)
     return;
-  std::optional<routing::RequestRef> command = std::exchange(it->second.command, std::nullopt);
-  if (command)
-    waiting_.erase(*command);
-  if (command)
-    router_->client_gone(*command);
-  on_.log.line("stream", "an upload was cut: " + why);
-  respond_error(at, status, why);
+  std::optional<routing::RequestRef> request = std::exchange(session->open_request, std::nullopt);
+  if (request) {
+    connection_of_.erase(*request);
+    router_->client_gone(*request);
+  }
+  platform_.log.line("stream", "an upload was cut: " + reason);
+  respond_error(connection, status, reason);
 }
 
-// What the client still sends of its upload when it is answered is nobody's.
-void ClientServer::leave_upload(SlotRef at, Session& s) {
-  Transfer& t = *s.transfer;
-  if (!t.upload)
+// The request is answered: the rest of its upload is discarded, and then the connection ends.
+void ClientServer::detach_upload(SlotRef connection, Session& session) {
+  Transfer& transfer = *session.transfer;
+  if (!transfer.upload)
     return;
-  t.upload->on_room = nullptr;
-  if (!t.reader.done()) {
-    s.keep_alive = false;
-    t.upload->break_off();
-    on_.network.hold(at,
-                     true);  // until the answer has gone out; then it is thrown away for a while
+  transfer.upload->on_room = nullptr;
+  if (!transfer.upload_reader.done()) {
+    session.keep_alive = false;
+    transfer.upload->break_off();
+    platform_.network.hold(connection, true);  // finish() discards it once the response is written
   }
-  t.upload.reset();
-  t.uploads.wait(on_.clock.now(), false);
+  transfer.upload.reset();
+  transfer.upload_stall.set_waiting(platform_.clock.now(), false);
 }
 
-void ClientServer::begin_reply(SlotRef at, Session& s, routing::Reply reply) {
-  bool fresh = !s.transfer;
-  if (fresh)
-    s.transfer = std::make_unique<Transfer>();
-  Transfer& t = *s.transfer;
-  leave_upload(at, s);
+void ClientServer::begin_reply(SlotRef connection, Session& session, routing::Reply reply) {
+  bool first_transfer = !session.transfer;
+  if (first_transfer)
+    session.transfer = std::make_unique<Transfer>();
+  Transfer& transfer = *session.transfer;
+  detach_upload(connection, session);
   Headers headers = std::move(reply.fields);
-  // Without a length, one that knows no chunks is told by the close.
-  Framing framing = reply.length ? Framing::Length : s.old ? Framing::UntilClose : Framing::Chunked;
+  Framing framing = Framing::Chunked;
   if (reply.length) {
+    framing = Framing::Length;
     headers.emplace_back("Content-Length", std::to_string(*reply.length));
-  } else if (framing == Framing::Chunked) {
-    headers.emplace_back("Transfer-Encoding", "chunked");
+  } else if (session.http_1_0) {  // knows no chunks: the body ends with the connection
+    framing = Framing::UntilClose;
+    session.keep_alive = false;
   } else {
-    s.keep_alive = false;
+    headers.emplace_back("Transfer-Encoding", "chunked");
   }
-  s.keep_alive = s.keep_alive && stage_ < Stage::Closing;
-  t.reply.emplace(std::move(reply.rest), framing);
-  t.reply->pipe()->on_data = [this, at] {
-    pump_reply(at);
+  session.keep_alive = session.keep_alive && stage_ < Stage::Closing;
+  transfer.reply.emplace(std::move(reply.rest), framing);
+  transfer.reply->pipe()->on_data = [this, connection] {
+    send_reply(connection);
   };
-  if (fresh)
-    watch_stall(at, t);
-  on_.network.send(at, protocol::write_response_head(200, headers, s.keep_alive));
-  pump_reply(at);
+  if (first_transfer)
+    schedule_stall_check(connection, transfer);
+  platform_.network.send(connection,
+                         protocol::write_response_head(200, headers, session.keep_alive));
+  send_reply(connection);
 }
 
-void ClientServer::pump_reply(SlotRef at) {
-  auto it = sessions_.find(at);
-  if (it == sessions_.end() || !it->second.transfer || !it->second.transfer->reply)
+void ClientServer::send_reply(SlotRef connection) {
+  Session* session = find(connection);
+  if (!session || !session->transfer || !session->transfer->reply)
     return;
-  Transfer& t = *it->second.transfer;
-  if (t.reply->pipe()->broken())
-    return cut_reply(at, "the instance broke it off");
-  t.reply->pump(on_.network, at);
-  t.replies.wait(on_.clock.now(), on_.network.unsent(at) > 0);
-  if (t.reply->taken_all() && !std::exchange(t.ended, true)) {
-    on_.network.send(at, t.reply->end());
-    t.replies.wait(on_.clock.now(), on_.network.unsent(at) > 0);
+  transport::Network& network = platform_.network;
+  Transfer& transfer = *session->transfer;
+  if (transfer.reply->pipe()->broken())
+    return abort_reply(connection, "the instance broke it off");
+  transfer.reply->send_available(network, connection);
+  transfer.reply_stall.set_waiting(platform_.clock.now(), network.unsent(connection) > 0);
+  if (transfer.reply->all_taken() && !std::exchange(transfer.reply_terminated, true)) {
+    network.send(connection, transfer.reply->terminator());
+    transfer.reply_stall.set_waiting(platform_.clock.now(), network.unsent(connection) > 0);
   }
-  // Its memory is given back when the last byte has gone out, and not before.
-  if (t.ended && on_.network.unsent(at) == 0)
-    end_reply(at);
+  // The memory of the reply is in use until its last byte has been written.
+  if (transfer.reply_terminated && network.unsent(connection) == 0)
+    end_reply(connection);
 }
 
-void ClientServer::end_reply(SlotRef at) {
-  Session& s = sessions_.at(at);
-  drop_transfer(at, s);
-  if (!s.keep_alive || stage_ >= Stage::Closing) {
-    forget(at);
-    return on_.network.finish(at);
+void ClientServer::end_reply(SlotRef connection) {
+  Session& session = sessions_.at(connection);
+  drop_transfer(connection, session);
+  if (!session.keep_alive || stage_ >= Stage::Closing) {
+    remove_session(connection);
+    return platform_.network.finish(connection);
   }
-  // Not from inside the pipe's call: what comes next may be a new command.
-  s.more = on_.deadlines.add(on_.clock.now(), [this, at] {
-    if (auto next = sessions_.find(at); next != sessions_.end())
-      next->second.more = {}, work(at);
-  });
+  // In a later turn: this may be inside a callback of the pipe, and a new request may follow.
+  schedule_resume(connection, session);
 }
 
-// No second answer on this connection: it ends without its last chunk, or short of its length.
-void ClientServer::cut_reply(SlotRef at, const std::string& why) {
-  on_.log.line("stream", "a reply was cut, its order has failed: " + why);
-  forget(at);
-  on_.network.reset(at);
+// The client sees a body without its last chunk, or shorter than its length: the response has been
+// sent, and no second one can follow.
+void ClientServer::abort_reply(SlotRef connection, const std::string& reason) {
+  platform_.log.line("stream", "a reply was cut, its order has failed: " + reason);
+  remove_session(connection);
+  platform_.network.reset(connection);
 }
 
 void ClientServer::cut_streams() {
-  std::vector<SlotRef> open;
-  for (auto& [at, s] : sessions_) {
-    if (s.transfer && s.transfer->reply)
-      open.push_back(at);
+  std::vector<SlotRef> replying;
+  for (const auto& [connection, session] : sessions_) {
+    if (session.transfer && session.transfer->reply)
+      replying.push_back(connection);
   }
-  for (SlotRef at : open)
-    cut_reply(at, "the time to end is over");
+  for (SlotRef connection : replying)
+    abort_reply(connection, "the time to end is over");
 }
 
-void ClientServer::on_written(SlotRef at) {
-  auto it = sessions_.find(at);
-  if (it == sessions_.end())
+void ClientServer::on_written(SlotRef connection) {
+  Session* session = find(connection);
+  if (!session)
     return;
-  if (!it->second.transfer)
-    return void(try_pass(at));
-  it->second.transfer->replies.moved(on_.clock.now());
-  pump_reply(at);
+  if (!session->transfer) {
+    try_pass_on(connection);
+    return;
+  }
+  session->transfer->reply_stall.record_progress(platform_.clock.now());
+  send_reply(connection);
 }
 
-// One timer for both directions, moved only when it fires: touching it for each piece would cost
-// more than the piece.
-void ClientServer::watch_stall(SlotRef at, Transfer& t) {
-  t.stall = on_.deadlines.add(on_.clock.now() + on_streams_->stall / 4, [this, at] {
-    auto it = sessions_.find(at);
-    if (it == sessions_.end() || !it->second.transfer)
+// One periodic check for both directions: a deadline that moved with each piece would cost more
+// than the piece.
+void ClientServer::schedule_stall_check(SlotRef connection, Transfer& transfer) {
+  auto check = [this, connection] {
+    Session* session = find(connection);
+    if (!session || !session->transfer)
       return;
-    Transfer& t = *it->second.transfer;
-    t.stall = {};
-    transport::Time now = on_.clock.now();
-    if (t.replies.stalled(now, on_streams_->stall))
-      return cut_reply(at, "the client takes nothing");
-    if (t.uploads.stalled(now, on_streams_->stall))
-      return abort_upload(at, 408, "the client sends nothing");
-    watch_stall(at, t);
-  });
+    Transfer& checked = *session->transfer;
+    checked.stall_check = {};
+    transport::Time now = platform_.clock.now();
+    if (checked.reply_stall.is_stalled(now, streaming_->stall))
+      return abort_reply(connection, "the client takes nothing");
+    if (checked.upload_stall.is_stalled(now, streaming_->stall))
+      return abort_upload(connection, 408, "the client sends nothing");
+    schedule_stall_check(connection, checked);
+  };
+  transport::Time next_check = platform_.clock.now() + streaming_->stall / 4;
+  transfer.stall_check = platform_.deadlines.add(next_check, std::move(check));
 }
 
-void ClientServer::drop_transfer(SlotRef at, Session& s) {
-  if (!s.transfer)
+void ClientServer::drop_transfer(SlotRef connection, Session& session) {
+  if (!session.transfer)
     return;
-  Transfer& t = *s.transfer;
-  if (t.upload) {
-    t.upload->on_room = nullptr;
-    if (!t.reader.done())
-      t.upload->break_off();
+  Transfer& transfer = *session.transfer;
+  if (transfer.upload) {
+    transfer.upload->on_room = nullptr;
+    if (!transfer.upload_reader.done())
+      transfer.upload->break_off();
   }
-  if (t.reply) {
-    t.reply->pipe()->on_data = nullptr;
-    if (!t.reply->taken_all())
-      t.reply->pipe()->abandon();
+  if (transfer.reply) {
+    transfer.reply->pipe()->on_data = nullptr;
+    if (!transfer.reply->all_taken())
+      transfer.reply->pipe()->abandon();
   }
-  on_.deadlines.drop(t.stall);
-  s.transfer.reset();
-  on_.network.bulk(at, false);
+  platform_.deadlines.drop(transfer.stall_check);
+  session.transfer.reset();
+  platform_.network.bulk(connection, false);
 }
 
 }  // namespace dispatcher::http
--- a/src/http/discovery_client.cpp
+++ b/src/http/discovery_client.cpp
@@ -86,7 +86,7 @@
   protocol::EndpointUpdate list;
   try {
     list = protocol::parse_endpoint_update(protocol::parse_json(m.body), on_.words);
-  } catch (const protocol::Refused& e) {
+  } catch (const protocol::MessageError& e) {
     revision_.reset();  // whoever writes that may have lost more: begin anew
     return fail(std::string("malformed list: ") + e.what());
   }
--- a/src/http/platform.h
+++ b/src/http/platform.h
@@ -1,4 +1,4 @@
-// What every side of the program stands on.
+// The services that every HTTP component of the program uses.
 #pragma once
 
 #include "operations/log.h"
@@ -9,6 +9,7 @@
 
 namespace dispatcher::http {
 
+// References only: the program owns all of them and outlives the components.
 struct Platform {
   transport::Network& network;
   transport::Deadlines& deadlines;
--- a/src/http/worker_client.h
+++ b/src/http/worker_client.h
@@ -1,145 +1,177 @@
-// The worker side over HTTP, one call at a time on a connection: each attempt on a new one,
-// withdrawals and probes, which may be repeated, on what those leave.
+// The HTTP client for workers: submits attempts, cancels them and checks the workers' health.
+//
+// A connection carries one call at a time. Each attempt has a connection of its own; cancellations
+// and health checks, which may be repeated, use the connections that other calls leave open.
+//
+// Parts of the class by file: worker_client.cpp (workers and attempts), worker_client_calls.cpp
+// (calls and their connections), worker_client_streams.cpp (relayed bodies).
 #pragma once
 
 #include <map>
 #include <unordered_map>
 
 #include "http/client_server.h"
+#include "http/idle_connections.h"
 
 namespace dispatcher::http {
 
+// Runs on the thread of the loop.
 class WorkerClient final : public transport::ConnectionHandler, public routing::WorkerPort {
  public:
   struct Times {
-    transport::Duration connect{1000};  // to come up
-    transport::Duration idle{
-        2000};  // a pooled connection is used no longer than this after its last call
-    transport::Duration probe{2000};
-    bool reports = false;  // probes ask for the load
+    transport::Duration connect{1000};  // timeout for a connection to come up
+    transport::Duration idle{2000};   // a connection is used again for so long after its last call
+    transport::Duration probe{2000};  // timeout for health checks and cancellations
+    bool reports = false;             // health checks ask for a load report
   };
-  WorkerClient(Platform on, Times times, std::optional<Streaming> streaming)
-      : on_(on), times_(times), streaming_(std::move(streaming)) {}
+  WorkerClient(Platform platform, Times times, std::optional<Streaming> streaming)
+      : platform_(platform),
+        times_(times),
+        streaming_(std::move(streaming)),
+        idle_(platform.network, platform.deadlines, platform.clock) {}
 
   void attach(routing::Router& router) { router_ = &router; }
   void retime(Times times) { times_ = times; }
-  void update(const protocol::EndpointUpdate&
-                  list);  // where the workers are; before the scheduler hears of them
-  // After it has: what still waits for a connection to a worker that this list has closed to it
-  // ends here, as never sent.
+  // Where the workers are. To be called before the scheduler learns of the update.
+  void update(const protocol::EndpointUpdate& update);
+  // To be called after the scheduler has learned of the update: ends the attempts that still wait
+  // for a connection to a worker that takes no new ones, as not sent.
   void recall();
+  // Cancels a job that another process of this dispatcher submitted.
+  void cancel_job(const std::string& worker, const std::string& id);
 
+  // routing::WorkerPort
   void submit(routing::AttemptRef attempt, const std::string& worker,
-              std::shared_ptr<const routing::RequestPayload> cargo, scheduling::Time ends) override;
+              std::shared_ptr<const routing::RequestPayload> payload,
+              scheduling::Time deadline) override;
   void cancel(routing::AttemptRef attempt) override;
   void forget_attempt(routing::AttemptRef attempt) override;
   bool fully_sent(routing::AttemptRef attempt) const override;
   void check_health(const std::string& worker) override;
   bool is_accepted(routing::AttemptRef attempt) const override;
-  void cancel_job(const std::string& worker,
-                  const std::string& id);  // of an attempt that is not ours
 
+  // transport::ConnectionHandler
   void on_connected(transport::SlotRef connection) override;
   void on_bytes(transport::SlotRef connection, std::string_view bytes) override;
   void on_closed(transport::SlotRef connection, bool all_written) override;
   void on_written(transport::SlotRef connection) override;
 
  private:
-  struct Idle {
-    transport::SlotRef connection;
-    transport::Deadlines::Handle retire;
-  };
   struct Worker {
     std::string address;
     std::optional<scheduling::Time> online_since;
-    bool gone = false;
-    bool closed = false;       // closed: to what is on its way there, by the latest list
-    std::size_t attempts = 0;  // active ones: they may still have to be cancelled there
-    std::vector<Idle> idle;    // the latest used last
+    bool removed = false;          // by the latest update
+    bool recalls_pending = false;  // by the latest update: takes no attempts that are not sent yet
+    std::size_t attempts = 0;      // active ones, which may still have to be cancelled there
   };
-  enum class Kind { Submit, Cancel, HealthCheck };
-  struct Stream {                   // of bodies that pass through
-    std::optional<Outflow> upload;  // until all of it has gone out
-    std::optional<std::uint64_t> length;
-    bool up = false;
-    bool committed = false;
-    bool sent = false;                       // sent: with its last byte
-    std::shared_ptr<streaming::Pipe> reply;  // once its head has come
-    protocol::BodyReader reader;             // of the reply
-    Progress uploads;
-    Progress replies;
-    transport::Deadlines::Handle stall;
+
+  // Bodies that are relayed in one call.
+  struct Transfer {
+    std::optional<BodySender> upload;  // until all of it has been written
+    bool connected = false;
+    bool last_byte_allowed = false;
+    bool upload_sent = false;                // with its last byte
+    std::shared_ptr<streaming::Pipe> reply;  // from the head of the reply on
+    protocol::BodyReader reply_reader;
+    StallDetector upload_stall;
+    StallDetector reply_stall;
+    transport::Deadlines::Handle stall_check;
   };
+
+  enum class CallKind { Submit, Cancel, HealthCheck };
   struct Call {
-    Kind kind = Kind::Submit;
+    Call(CallKind call_kind, std::string to_worker)
+        : kind(call_kind), worker(std::move(to_worker)) {}
+
+    CallKind kind;
     std::string worker;
-    std::optional<routing::AttemptRef>
-        attempt;  // of a submit that has neither been taken nor ended
-    std::optional<routing::AttemptRef> gives_up;  // of a withdrawal that has not been written yet
-    std::string bytes;  // of a call on a used connection, to be made once more
-    std::shared_ptr<const routing::RequestPayload>
-        cargo;                // of a submit whose connection is not up yet...
-    scheduling::Time ends{};  // ...and when nobody waits for it any more
-    std::string last;         // of a submit, while it is held back: its last byte
     protocol::Parser parser{protocol::Parser::Kind::Response};
-    std::unique_ptr<Stream> stream;
-    std::shared_ptr<streaming::Pipe> reply;  // for one that passes through
-    bool relayed = false;                    // written whole, and counted
-    bool taken = false;
-    bool keep = false;  // answered 202 before its upload was whole; to be kept then
-    transport::Deadlines::Handle connect;
-    transport::Deadlines::Handle commit;
-    transport::Deadlines::Handle answer;
+    transport::Deadlines::Handle connect_deadline;
+    transport::Deadlines::Handle answer_deadline;
+
+    // Of a health check or a cancellation on a connection that was used before: the call, to be
+    // repeated on a new one.
+    std::string repeatable_bytes;
+    // Of a cancellation that has not been written yet.
+    std::optional<routing::AttemptRef> cancelled_attempt;
+
+    // Of a submit, until it is accepted or has ended.
+    std::optional<routing::AttemptRef> attempt;
+    // Of a submit whose connection is not up yet, and when the client stops waiting.
+    std::shared_ptr<const routing::RequestPayload> payload;
+    scheduling::Time deadline{};
+    std::string held_back_byte;  // the last one of a submit, until release_last_byte()
+    transport::Deadlines::Handle last_byte_delay;
+    std::unique_ptr<Transfer> transfer;
+    std::shared_ptr<streaming::Pipe> reply;  // for a reply that is relayed
+    bool counted_as_sent = false;            // in the metrics
+    bool accepted_early = false;             // answered 202 before its upload was complete
+    bool keep_connection = false;            // of a relayed body, for another call
   };
-  struct Active {  // an attempt that has not ended
+
+  struct ActiveAttempt {
     std::string worker;
     std::string id;
-    std::optional<transport::SlotRef> connection;  // until the worker has taken it
-    bool cancelled = false;  // it has, and is to be told that nobody waits any more
-    transport::Deadlines::Handle again =
-        {};  // of a withdrawal that has to wait, or to be written again
+    std::optional<transport::SlotRef> connection;  // until the worker has accepted it
+    bool cancelled = false;                        // the worker has to be informed
+    transport::Deadlines::Handle next_cancellation = {};
   };
 
-  Stream upload_stream(const HttpRequestPayload& cargo);
-  void begin_upload(transport::SlotRef connection);
-  void pump_upload(transport::SlotRef connection);
-  void commit_upload(transport::SlotRef connection, Stream& s);
-  void finish_taken(transport::SlotRef connection);
-  void begin_reply(transport::SlotRef connection, protocol::Message message);
-  void reply_room(transport::SlotRef connection);
-  void on_reply(transport::SlotRef connection, std::string_view bytes);
-  void end_reply(transport::SlotRef connection);
-  void break_reply(transport::SlotRef connection);
-  void watch_stall(transport::SlotRef connection, Stream& s);
-  void drop_stream(Call& call);
-  bool call(Call call, std::string bytes);  // false: no connection is to be had
-  void write_head(transport::SlotRef connection, Call& call);
-  bool fully_sent(const Call& call) const;
-  void give_up(routing::AttemptRef attempt);
-  void hang_up(transport::SlotRef connection);  // on the call that is made there
+  // Workers and attempts
+  void update_worker(const protocol::WorkerEndpoint& endpoint);
+  void erase_removed_workers();
+  std::optional<ActiveAttempt> remove_attempt(routing::AttemptRef attempt);
+  void abandon_attempt(routing::AttemptRef attempt);
   void send_cancellation(routing::AttemptRef attempt);
-  void tell_again(routing::AttemptRef attempt);
-  void given_up(Call& call);
-  void commit(transport::SlotRef connection);
-  void note_written(transport::SlotRef connection, Call& call);
-  void on_message(transport::SlotRef connection, const protocol::Message& message);
-  void end(transport::SlotRef connection, scheduling::Outcome outcome);  // the call came to nothing
-  void report_end(const Call& call, scheduling::Outcome outcome,
-                  const scheduling::LoadReport& report);
+  void schedule_cancellation(routing::AttemptRef attempt);
+  void on_cancellation_written(Call& call);
+
+  // Calls and their connections
+  Call* find(transport::SlotRef connection);
+  bool start_call(Call call, std::string bytes);  // false: no connection is available
+  std::optional<transport::SlotRef> open_connection(const std::string& worker,
+                                                    const std::string& address);
+  transport::Deadlines::Handle end_call_after(transport::SlotRef connection,
+                                              transport::Duration timeout,
+                                              scheduling::Outcome outcome);
+  void send_submit(transport::SlotRef connection, Call& call);
+  void release_last_byte(transport::SlotRef connection);
+  void schedule_last_byte(transport::SlotRef connection, Call& call, transport::Duration delay);
+  bool fully_sent(const Call& call) const;
+  void on_call_written(transport::SlotRef connection, Call& call);
+  void on_answer(transport::SlotRef connection, const protocol::Message& message);
+  void on_submit_answer(const Call& call, const protocol::Message& message);
+  bool repeat_call(const Call& call);
+  void end_call(transport::SlotRef connection, scheduling::Outcome outcome);
+  void report_outcome(const Call& call, scheduling::Outcome outcome);
+  void close_call(transport::SlotRef connection);
+  void close_connection(transport::SlotRef connection, bool relays_body);
   void drop_call(transport::SlotRef connection);
-  void keep_or_close(transport::SlotRef connection, const std::string& worker, bool keep);
-  void take_from_pool(transport::SlotRef connection);
-  void close_pool(Worker& worker);
-  std::optional<Active> release(routing::AttemptRef attempt);
+  void reuse_or_close(transport::SlotRef connection, const std::string& worker, bool reusable);
+
+  // Relayed bodies
+  std::unique_ptr<Transfer> upload_transfer(const HttpRequestPayload& payload) const;
+  void begin_upload(transport::SlotRef connection);
+  void send_upload(transport::SlotRef connection);
+  void finish_early_accepted(transport::SlotRef connection);
+  void begin_reply(transport::SlotRef connection, const protocol::Message& head);
+  void decline_reply(transport::SlotRef connection, std::optional<routing::AttemptRef> attempt);
+  Transfer& begin_reply_transfer(transport::SlotRef connection, const protocol::Message& head);
+  void grant_reply(transport::SlotRef connection);
+  void on_reply_bytes(transport::SlotRef connection, std::string_view bytes);
+  void end_reply(transport::SlotRef connection);
+  void abort_reply(transport::SlotRef connection);
+  void schedule_stall_check(transport::SlotRef connection, Transfer& transfer);
+  void drop_transfer(Call& call);
 
-  Platform on_;
+  Platform platform_;
   Times times_;
   std::optional<Streaming> streaming_;
   routing::Router* router_ = nullptr;
   std::unordered_map<std::string, Worker> workers_;
   std::map<transport::SlotRef, Call> calls_;
-  std::map<transport::SlotRef, std::string> pooled_;  // idle connections and whose they are
-  std::map<routing::AttemptRef, Active> active_;
+  std::map<routing::AttemptRef, ActiveAttempt> attempts_;  // those that have not ended
+  IdleConnections idle_;
 };
 
 }  // namespace dispatcher::http
--- a/src/http/worker_client_streams.cpp
+++ b/src/http/worker_client_streams.cpp
@@ -1,5 +1,5 @@
-// The worker side of bodies that pass through: a worker is the sink of an upload and the
-// source of its reply.
+// Relayed bodies on the workers' side: a worker is the sink of an upload and the source of its
+// reply.
 #include "http/worker_client.h"
 
 namespace dispatcher::http {
@@ -10,219 +10,232 @@
 using scheduling::Outcome;
 using transport::SlotRef;
 
-// The head has been given to the connection; the body follows once that has come up, so that
-// nothing of the body is taken by one that never does.
-WorkerClient::Stream WorkerClient::upload_stream(const HttpRequestPayload& cargo) {
-  Stream s;
-  s.length = cargo.length;
-  s.upload.emplace(cargo.upload, cargo.length ? Framing::Length : Framing::Chunked);
-  if (cargo.length)
-    s.upload->keep_last(*cargo.length);
-  return s;
+// The body itself is taken from the pipe only once the connection is up.
+std::unique_ptr<WorkerClient::Transfer> WorkerClient::upload_transfer(
+    const HttpRequestPayload& payload) const {
+  auto transfer = std::make_unique<Transfer>();
+  transfer->upload.emplace(payload.upload, payload.length ? Framing::Length : Framing::Chunked);
+  if (payload.length)
+    transfer->upload->hold_back_last_byte(*payload.length);
+  return transfer;
 }
 
-void WorkerClient::begin_upload(SlotRef at) {
-  auto it = calls_.find(at);
-  if (it == calls_.end() || !it->second.stream || !it->second.stream->upload)
+void WorkerClient::begin_upload(SlotRef connection) {
+  Call* call = find(connection);
+  if (!call || !call->transfer || !call->transfer->upload)
     return;
-  Stream& s = *it->second.stream;
-  s.up = true;
-  s.upload->pipe()->on_data = [this, at] {
-    pump_upload(at);
+  Transfer& transfer = *call->transfer;
+  transfer.connected = true;
+  transfer.upload->pipe()->on_data = [this, connection] {
+    send_upload(connection);
   };
-  watch_stall(at, s);
-  pump_upload(at);
+  schedule_stall_check(connection, transfer);
+  send_upload(connection);
 }
 
-// A job begins with its last byte: the last one of the body, or of its framing, waits for the
-// commit.
-void WorkerClient::pump_upload(SlotRef at) {
-  auto it = calls_.find(at);
-  if (it == calls_.end() || !it->second.stream || !it->second.stream->upload ||
-      !it->second.stream->up)
+void WorkerClient::send_upload(SlotRef connection) {
+  Call* call = find(connection);
+  if (!call || !call->transfer || !call->transfer->upload || !call->transfer->connected)
     return;
-  Stream& s = *it->second.stream;
-  s.upload->pump(on_.network, at);
-  // The worker may have closed, and the client's last bytes have been read before that has been:
-  // a last byte written now would be lost without a proof. on_bytes() or on_closed() comes first.
-  if (!s.sent && s.committed && s.upload->at_last() && !on_.network.unread(at)) {
-    s.upload->let_last_go();
-    s.upload->pump(on_.network, at);
-    s.sent = true;
-    on_.network.send(at, s.upload->end());
+  transport::Network& network = platform_.network;
+  Transfer& transfer = *call->transfer;
+  transfer.upload->send_available(network, connection);
+  // The last byte starts the job. Input is read before it is sent: the worker may have closed the
+  // connection, and the byte would be lost without proof.
+  bool may_send_last_byte = transfer.last_byte_allowed && transfer.upload->only_last_byte_left();
+  if (!transfer.upload_sent && may_send_last_byte && !network.unread(connection)) {
+    transfer.upload->release_last_byte();
+    transfer.upload->send_available(network, connection);
+    transfer.upload_sent = true;
+    network.send(connection, transfer.upload->terminator());
   }
-  s.uploads.wait(on_.clock.now(), on_.network.unsent(at) > 0);
-  if (!s.sent || on_.network.unsent(at) > 0)
+  bool unsent = network.unsent(connection) > 0;
+  transfer.upload_stall.set_waiting(platform_.clock.now(), unsent);
+  if (!transfer.upload_sent || unsent)
     return;
-  note_written(at, it->second);
-  s.upload->pipe()->on_data = nullptr;
-  s.upload.reset();
-  on_.network.bulk(at, false);
-  if (it->second.taken)
-    finish_taken(at);
+  on_call_written(connection, *call);
+  transfer.upload->pipe()->on_data = nullptr;
+  transfer.upload.reset();
+  network.bulk(connection, false);
+  if (call->accepted_early)
+    finish_early_accepted(connection);
 }
 
-void WorkerClient::commit_upload(SlotRef at, Stream& s) {
-  s.committed = true;
-  pump_upload(at);
+// The worker accepted the job before its upload was complete; now it is, and job events follow.
+void WorkerClient::finish_early_accepted(SlotRef connection) {
+  Call call = std::move(calls_.at(connection));
+  if (call.attempt)
+    attempts_.at(*call.attempt).connection.reset();
+  drop_call(connection);
+  reuse_or_close(connection, call.worker, call.keep_connection);
 }
 
-// It took the job before it had all of it; now it has, and its call-backs tell the rest.
-void WorkerClient::finish_taken(SlotRef at) {
-  Call c = std::move(calls_.at(at));
-  if (c.attempt)
-    active_.at(*c.attempt).connection.reset();
-  drop_call(at);
-  keep_or_close(at, c.worker, c.keep);
-}
-
-// The reply is answered with its head: from here on the attempt has ended as served, and what goes
-// wrong is told to the client by cutting it.
-void WorkerClient::begin_reply(SlotRef at, Message m) {
-  Call& c = calls_.at(at);
-  std::optional<AttemptRef> attempt = std::exchange(c.attempt, std::nullopt);
-  std::shared_ptr<streaming::Pipe> pipe = attempt ? c.reply : nullptr;
-  if (!pipe || pipe->abandoned()) {
-    if (attempt) {
-      release(*attempt);
-      router_->attempt_ended(*attempt, Outcome::Cancelled, {});
-    }
-    drop_call(at);
-    return on_.network.reset(at);
-  }
-  release(*attempt);
-  auto answer = protocol::parse_submit_answer(m, on_.words, true);
-  if (!c.stream)
-    c.stream = std::make_unique<Stream>();
-  Stream& s = *c.stream;
-  // It answers before it had everything: the rest is not sent any more, and this connection ends
-  // with it.
-  c.keep = m.keep_alive && (!s.upload || s.sent) && c.last.empty();
-  if (s.upload) {
-    s.upload->pipe()->on_data = nullptr;
-    s.upload->pipe()->abandon();
-    s.upload.reset();
-  }
-  on_.deadlines.drop(c.connect);
-  on_.deadlines.drop(c.commit);
-  on_.deadlines.drop(c.answer);
-  s.reply = pipe;
-  s.reader = c.parser.pass();
-  if (s.stall.order == 0)
-    watch_stall(at, s);
-  pipe->append(m.body);
+// The attempt ends as served with the head of the reply. If the body fails later, the client's
+// response is aborted.
+void WorkerClient::begin_reply(SlotRef connection, const Message& head) {
+  Call& call = calls_.at(connection);
+  std::optional<AttemptRef> attempt = std::exchange(call.attempt, std::nullopt);
+  if (!attempt || !call.reply || call.reply->abandoned())
+    return decline_reply(connection, attempt);
+  remove_attempt(*attempt);
+  auto answer = protocol::parse_submit_answer(head, platform_.words, true);
+  Transfer& transfer = begin_reply_transfer(connection, head);
   routing::Reply reply;
-  reply.fields = protocol::content_fields(m.headers);
-  if (s.reader.framing() == Framing::Length)
-    reply.length = s.reader.length();
-  reply.rest = pipe;
-  if (s.reader.done()) {
-    end_reply(at);
+  reply.fields = protocol::content_fields(head.headers);
+  if (transfer.reply_reader.framing() == Framing::Length)
+    reply.length = transfer.reply_reader.length();
+  reply.rest = transfer.reply;
+  if (transfer.reply_reader.done()) {
+    end_reply(connection);
   } else {
-    pipe->on_room = [this, at] {
-      reply_room(at);
+    transfer.reply->on_room = [this, connection] {
+      grant_reply(connection);
     };
-    reply_room(at);
+    grant_reply(connection);
   }
   router_->attempt_ended(*attempt, *answer.end, answer.report, std::move(reply));
 }
 
-void WorkerClient::reply_room(SlotRef at) {
-  auto it = calls_.find(at);
-  if (it == calls_.end() || !it->second.stream || !it->second.stream->reply)
+// Nobody waits for the reply any more.
+void WorkerClient::decline_reply(SlotRef connection, std::optional<AttemptRef> attempt) {
+  if (attempt) {
+    remove_attempt(*attempt);
+    router_->attempt_ended(*attempt, Outcome::Cancelled, {});
+  }
+  drop_call(connection);
+  platform_.network.reset(connection);
+}
+
+WorkerClient::Transfer& WorkerClient::begin_reply_transfer(SlotRef connection,
+                                                           const Message& head) {
+  Call& call = calls_.at(connection);
+  if (!call.transfer)
+    call.transfer = std::make_unique<Transfer>();
+  Transfer& transfer = *call.transfer;
+  // A worker that replies before it has all of the upload does not get the rest, and its connection
+  // is not used again.
+  call.keep_connection =
+      head.keep_alive && (!transfer.upload || transfer.upload_sent) && call.held_back_byte.empty();
+  if (transfer.upload) {
+    transfer.upload->pipe()->on_data = nullptr;
+    transfer.upload->pipe()->abandon();
+    transfer.upload.reset();
+  }
+  platform_.deadlines.drop(call.connect_deadline);
+  platform_.deadlines.drop(call.last_byte_delay);
+  platform_.deadlines.drop(call.answer_deadline);
+  transfer.reply = call.reply;
+  transfer.reply_reader = call.parser.pass();
+  if (transfer.stall_check.order == 0)
+    schedule_stall_check(connection, transfer);
+  transfer.reply->append(head.body);
+  return transfer;
+}
+
+// Reads as much of the reply as the pipe has capacity for; the rest waits in the network.
+void WorkerClient::grant_reply(SlotRef connection) {
+  Call* call = find(connection);
+  if (!call || !call->transfer || !call->transfer->reply)
     return;
-  Stream& s = *it->second.stream;
-  if (s.reply->abandoned()) {  // the client has left, or was cut
-    drop_call(at);
-    return on_.network.reset(at);
+  Transfer& transfer = *call->transfer;
+  if (transfer.reply->abandoned()) {
+    drop_call(connection);
+    return platform_.network.reset(connection);
   }
-  std::size_t room = s.reply->room();
-  on_.network.grant(at, room);
-  s.replies.wait(on_.clock.now(), room > 0);
+  std::size_t capacity = transfer.reply->room();
+  platform_.network.grant(connection, capacity);
+  transfer.reply_stall.set_waiting(platform_.clock.now(), capacity > 0);
 }
 
-void WorkerClient::on_reply(SlotRef at, std::string_view bytes) {
-  Call& c = calls_.at(at);
-  Stream& s = *c.stream;
-  std::shared_ptr<streaming::Pipe> pipe = s.reply;
-  s.replies.moved(on_.clock.now());
+void WorkerClient::on_reply_bytes(SlotRef connection, std::string_view bytes) {
+  Call& call = calls_.at(connection);
+  Transfer& transfer = *call.transfer;
+  // A copy: the pipe's callbacks below may end the call.
+  std::shared_ptr<streaming::Pipe> reply = transfer.reply;
+  transfer.reply_stall.record_progress(platform_.clock.now());
   std::size_t used = 0;
   try {
-    used = s.reader.read(bytes, [&](std::string_view body) { pipe->append(body); });
-    if (pipe->appended() > kLong)
-      on_.network.bulk(at, true);
-  } catch (const protocol::HttpError& e) {
-    on_.log.line("instance", c.worker + ": malformed reply: " + e.what());
-    return break_reply(at);
+    auto append = [&](std::string_view body) {
+      reply->append(body);
+    };
+    used = transfer.reply_reader.read(bytes, append);
+    if (reply->appended() > kBulkThresholdBytes)
+      platform_.network.bulk(connection, true);
+  } catch (const protocol::HttpError& error) {
+    platform_.log.line("instance", call.worker + ": malformed reply: " + error.what());
+    return abort_reply(connection);
   }
-  auto it = calls_.find(at);  // the client's side may have given it up meanwhile
-  if (it == calls_.end())
+  Call* open = find(connection);
+  if (!open)
     return;
-  if (!it->second.stream->reader.done())
-    return reply_room(at);
+  if (!open->transfer->reply_reader.done())
+    return grant_reply(connection);
   if (used < bytes.size())
-    it->second.keep = false;
-  end_reply(at);
+    open->keep_connection = false;
+  end_reply(connection);
 }
 
-void WorkerClient::end_reply(SlotRef at) {
-  Call c = std::move(calls_.at(at));
-  std::shared_ptr<streaming::Pipe> pipe = c.stream->reply;
-  drop_stream(c);
-  drop_call(at);
-  on_.network.bulk(at, false);
-  on_.network.hold(at, false);
-  keep_or_close(at, c.worker, c.keep);
-  pipe->finish();
+void WorkerClient::end_reply(SlotRef connection) {
+  Call call = std::move(calls_.at(connection));
+  std::shared_ptr<streaming::Pipe> reply = call.transfer->reply;
+  drop_transfer(call);
+  drop_call(connection);
+  platform_.network.bulk(connection, false);
+  platform_.network.hold(connection, false);
+  reuse_or_close(connection, call.worker, call.keep_connection);
+  reply->finish();
 }
 
-void WorkerClient::break_reply(SlotRef at) {
-  auto it = calls_.find(at);
-  std::shared_ptr<streaming::Pipe> pipe = it->second.stream->reply;
-  drop_call(at);
-  on_.network.reset(at);
-  pipe->break_off();
+void WorkerClient::abort_reply(SlotRef connection) {
+  std::shared_ptr<streaming::Pipe> reply = calls_.at(connection).transfer->reply;
+  drop_call(connection);
+  platform_.network.reset(connection);
+  reply->break_off();
 }
 
-void WorkerClient::on_written(SlotRef at) {
-  auto it = calls_.find(at);
-  if (it == calls_.end())
+void WorkerClient::on_written(SlotRef connection) {
+  Call* call = find(connection);
+  if (!call)
     return;
-  if (!it->second.stream)
-    return note_written(at, it->second);
-  it->second.stream->uploads.moved(on_.clock.now());
-  pump_upload(at);
+  if (!call->transfer)
+    return on_call_written(connection, *call);
+  call->transfer->upload_stall.record_progress(platform_.clock.now());
+  send_upload(connection);
 }
 
-void WorkerClient::watch_stall(SlotRef at, Stream& s) {
-  s.stall = on_.deadlines.add(on_.clock.now() + streaming_->stall / 4, [this, at] {
-    auto it = calls_.find(at);
-    if (it == calls_.end() || !it->second.stream)
+// One periodic check for both directions: a deadline that moved with each piece would cost more
+// than the piece.
+void WorkerClient::schedule_stall_check(SlotRef connection, Transfer& transfer) {
+  auto check = [this, connection] {
+    Call* call = find(connection);
+    if (!call || !call->transfer)
       return;
-    Stream& s = *it->second.stream;
-    s.stall = {};
-    transport::Time now = on_.clock.now();
-    if (s.replies.stalled(now, streaming_->stall)) {
-      on_.log.line("stream", it->second.worker + ": its reply stalled");
-      return break_reply(at);
+    Transfer& checked = *call->transfer;
+    checked.stall_check = {};
+    transport::Time now = platform_.clock.now();
+    if (checked.reply_stall.is_stalled(now, streaming_->stall)) {
+      platform_.log.line("stream", call->worker + ": its reply stalled");
+      return abort_reply(connection);
     }
-    if (s.uploads.stalled(now, streaming_->stall)) {
-      on_.log.line("stream", it->second.worker + ": it takes no more of an upload");
-      return end(at, Outcome::ConnectFailed);  // not the last byte: the job has not begun
+    if (checked.upload_stall.is_stalled(now, streaming_->stall)) {
+      platform_.log.line("stream", call->worker + ": it takes no more of an upload");
+      return end_call(connection, Outcome::ConnectFailed);  // the job has not begun
     }
-    watch_stall(at, s);
-  });
+    schedule_stall_check(connection, checked);
+  };
+  transport::Time next_check = platform_.clock.now() + streaming_->stall / 4;
+  transfer.stall_check = platform_.deadlines.add(next_check, std::move(check));
 }
 
-void WorkerClient::drop_stream(Call& c) {
-  if (!c.stream)
+void WorkerClient::drop_transfer(Call& call) {
+  if (!call.transfer)
     return;
-  on_.deadlines.drop(c.stream->stall);
-  if (c.stream->upload)
-    c.stream->upload->pipe()->on_data = nullptr;
-  if (c.stream->reply)
-    c.stream->reply->on_room = nullptr;
-  c.stream.reset();
+  platform_.deadlines.drop(call.transfer->stall_check);
+  if (call.transfer->upload)
+    call.transfer->upload->pipe()->on_data = nullptr;
+  if (call.transfer->reply)
+    call.transfer->reply->on_room = nullptr;
+  call.transfer.reset();
 }
 
 }  // namespace dispatcher::http
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -28,7 +28,7 @@
 double need_number(std::string_view text, double low, double high, const char* what) {
   std::optional<double> value = decimal(text);
   if (!value || *value < low || *value > high)
-    throw Refused(std::string("bad ") + what);
+    throw MessageError(std::string("bad ") + what);
   return *value;
 }
 
@@ -47,7 +47,7 @@
   bool lower = std::ranges::none_of(
       text, [](char c) { return c >= 'A' && c <= 'F'; });  // one text for one id
   if (text.size() != 16 || error != std::errc() || end != text.data() + text.size() || !lower)
-    throw Refused("bad X-Correlation-Id");
+    throw MessageError("bad X-Correlation-Id");
   return id;
 }
 
@@ -68,7 +68,7 @@
       continue;
     std::size_t equals = pair.find('=');
     if (equals == std::string_view::npos)
-      throw Refused("a pair has no '='");
+      throw MessageError("a pair has no '='");
     visit(pair.substr(0, equals), pair.substr(equals + 1));
   }
 }
@@ -97,7 +97,7 @@
 
 void add_pair(std::string& pairs, std::string_view name, double value) {
   if (!std::isfinite(value) || value < 0 || value > 1e9)
-    throw Refused("a load report is out of range");
+    throw MessageError("a load report is out of range");
   if (!pairs.empty())
     pairs += ',';
   pairs.append(report_word(name)).append(":").append(std::to_string(value));
@@ -112,7 +112,7 @@
       add_pair(pairs, name, need_number(value, 0, 1e9, "load report"));
     });
     return report_of(pairs, words);
-  } catch (const Refused&) {
+  } catch (const MessageError&) {
     return {};
   }
 }
@@ -124,11 +124,11 @@
     std::string pairs;
     for (const std::string& name : load.getMemberNames()) {
       if (!load[name].isNumeric())
-        throw Refused("a load report's value is no number");
+        throw MessageError("a load report's value is no number");
       add_pair(pairs, name, load[name].asDouble());
     }
     return report_of(pairs, words);
-  } catch (const Refused&) {
+  } catch (const MessageError&) {
     return {};
   }
 }
@@ -150,15 +150,15 @@
     if (reader->parse(text.data(), text.data() + text.size(), &value, &errors))
       return value;
   } catch (const Json::Exception& e) {
-    throw Refused(std::string("bad JSON: ") + e.what());
+    throw MessageError(std::string("bad JSON: ") + e.what());
   }
   std::replace(errors.begin(), errors.end(), '\n', ' ');
-  throw Refused("bad JSON: " + errors);
+  throw MessageError("bad JSON: " + errors);
 }
 
 std::string json_text(const Json::Value& object, const char* name) {
   if (!object.isObject() || !object[name].isString())
-    throw Refused(std::string("no text \"") + name + '"');
+    throw MessageError(std::string("no text \"") + name + '"');
   return object[name].asString();
 }
 
@@ -176,22 +176,22 @@
        {"X-Correlation-Id", "X-Service-Class", "X-Account", "X-Time-Left-Ms", "Idempotency-Key"}) {
     if (std::ranges::count_if(m.headers, [&](const auto& h) { return same_name(h.first, name); }) >
         1)
-      throw Refused(std::string("repeated ") + name);
+      throw MessageError(std::string("repeated ") + name);
   }
   c.id = m.header("X-Correlation-Id");
   c.request.id = parse_request_id(c.id);
   auto job_class = index_of(words.classes, m.header("X-Service-Class"));
   if (!job_class || words.dropped[*job_class])
-    throw Refused("unknown X-Service-Class");
+    throw MessageError("unknown X-Service-Class");
   c.request.job_class = *job_class;
   auto tenant = index_of(words.tenants, m.header("X-Account"));
   if (!words.tenants.empty() && !tenant)
-    throw Refused("unknown X-Account");
+    throw MessageError("unknown X-Account");
   c.request.tenant = tenant.value_or(0);
   std::string_view left =
       m.header("X-Time-Left-Ms");  // whole: "1e9" is a number elsewhere, but not here
   if (left.find_first_not_of("0123456789") != std::string_view::npos)
-    throw Refused("bad X-Time-Left-Ms");
+    throw MessageError("bad X-Time-Left-Ms");
   c.request.timeout = Duration(need_number(left, 0, kMostMs, "X-Time-Left-Ms"));
   if (m.has("X-Weight-Hint")) {
     c.request.cost_hint =
@@ -206,7 +206,7 @@
   c.key = m.header("Idempotency-Key");
   // Without its key no worker could tell a repeat, and the scheduler repeats keyed work.
   if (words.keyed[*job_class] && c.key.empty())
-    throw Refused("this class needs an Idempotency-Key");
+    throw MessageError("this class needs an Idempotency-Key");
   c.target = std::move(m.target);
   c.body = std::move(m.body);
   return c;
@@ -283,7 +283,7 @@
   } else if (m.body.starts_with('{')) {
     try {
       a.report = read_load_json(parse_json(m.body), words);
-    } catch (const Refused&) {  // a probe that is answered still tells that the worker lives
+    } catch (const MessageError&) {  // a probe that is answered still tells that the worker lives
     }
   } else {
     a.report = read_load_text(m.body, words);
@@ -312,7 +312,7 @@
   } else if (state == "lost") {
     n.what = What::Lost;
   } else {
-    throw Refused("unknown state");
+    throw MessageError("unknown state");
   }
   n.report = read_load_json(v["load"], words);
   return n;
@@ -322,7 +322,7 @@
 
 EndpointUpdate parse_endpoint_update(const Json::Value& v, const IdentifierTables& words) {
   if (!v.isObject() || !v["rev"].isInt64() || !v["all"].isBool() || !v["targets"].isArray())
-    throw Refused("a list needs rev, all and targets");
+    throw MessageError("a list needs rev, all and targets");
   EndpointUpdate list;
   list.revision = v["rev"].asInt64();
   list.whole = v["all"].asBool();
@@ -343,7 +343,7 @@
     };
     l.address = text("endpoint");
     if (l.uid.empty() || (l.address.empty() && state != "removed"))
-      throw Refused("an entry has no endpoint");
+      throw MessageError("an entry has no endpoint");
     auto index = [&](const std::vector<std::string>& names, const char* name) {
       auto i = index_of(names, text(name));
       return i ? static_cast<int>(*i) : -1;
--- a/src/protocol/messages.h
+++ b/src/protocol/messages.h
@@ -16,9 +16,11 @@
 
 namespace dispatcher::protocol {
 
-struct Refused : std::runtime_error {  // a message that means nothing here; says why
+// A message of a client, a worker or discovery that cannot be understood; what() says why.
+struct MessageError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
+using Refused = MessageError;  // former name, still used by src/program
 
 // What the settings call things, in the order of the scheduler's indices.
 struct IdentifierTables {
@@ -37,9 +39,9 @@
   std::chrono::duration<double, std::milli> wall_to_steady{0};
 };
 
-Json::Value parse_json(std::string_view text);  // throws Refused
+Json::Value parse_json(std::string_view text);  // throws MessageError
 std::string json_text(const Json::Value& object,
-                      const char* name);  // throws Refused when not a string
+                      const char* name);  // throws MessageError when not a string
 
 // ---- Clients ----
 
@@ -52,10 +54,10 @@
   Headers fields;    // of a streamed one, on its content
 };
 scheduling::RequestId parse_request_id(
-    std::string_view text);  // sixteen hex digits; throws Refused
+    std::string_view text);  // sixteen hex digits; throws MessageError
 bool is_request_path(std::string_view target);
 ClientRequest parse_client_request(Message&& message,
-                                   const IdentifierTables& words);  // throws Refused
+                                   const IdentifierTables& words);  // throws MessageError
 
 // ---- Workers ----
 
@@ -85,7 +87,8 @@
   What what = What::Started;
   scheduling::LoadReport report;
 };
-JobEvent parse_job_event(std::string_view body, const IdentifierTables& words);  // throws Refused
+JobEvent parse_job_event(std::string_view body,
+                         const IdentifierTables& words);  // throws MessageError
 
 // ---- The endpoint list ----
 
@@ -100,7 +103,7 @@
   std::vector<WorkerEndpoint> entries;
 };
 EndpointUpdate parse_endpoint_update(const Json::Value& list,
-                                     const IdentifierTables& words);  // throws Refused
+                                     const IdentifierTables& words);  // throws MessageError
 std::string write_watch(std::optional<std::int64_t> after, scheduling::Duration wait,
                         const std::string& address);
 
