--- a/src/http/admin_server.cpp
+++ b/src/http/admin_server.cpp
@@ -63,7 +63,7 @@
 // here longest goes.
 bool AdminServer::shed_idle() {
   for (auto [place, at] : order_) {
-    if (network_.unread(at))
+    if (network_.has_unread(at))
       continue;
     forget(at);
     network_.close(at);
--- a/src/http/body_sender.h
+++ b/src/http/body_sender.h
@@ -27,7 +27,7 @@
 
   // Only the last byte, of the body or of its framing, has still to be sent.
   bool only_last_byte_left() const {
-    return pipe_->whole() && (pipe_->taken() == send_limit_ || all_taken());
+    return pipe_->complete() && (pipe_->taken_bytes() == send_limit_ || all_taken());
   }
   // All of the body has been given to the connection.
   bool all_taken() const { return pipe_->taken_all(); }
@@ -37,21 +37,21 @@
   // connections.
   void send_available(transport::Network& network, transport::SlotRef connection) {
     for (std::size_t sent = 0;;) {
-      transport::Slice slice = pipe_->next(bytes_until_limit());
+      transport::Slice slice = pipe_->take(bytes_until_limit());
       if (slice.bytes.empty())
         break;
       sent += slice.bytes.size();
       writer_.piece(std::move(slice),
                     [&](auto bytes) { network.send(connection, std::move(bytes)); });
-      if (network.unsent(connection) > kMaximumUnsentBytes)
+      if (network.unsent_bytes(connection) > kMaximumUnsentBytes)
         break;  // the rest waits in the pipe, where the source sees it
       if (sent < kBytesPerTurn)
         continue;
-      network.again(connection);
+      network.schedule_on_written(connection);
       break;
     }
-    if (pipe_->taken() > kBulkThresholdBytes)
-      network.bulk(connection, true);
+    if (pipe_->taken_bytes() > kBulkThresholdBytes)
+      network.set_bulk(connection, true);
     report_written(network, connection);
   }
 
@@ -64,14 +64,14 @@
   static constexpr std::size_t kBytesPerTurn = 64 << 10;
 
   std::size_t bytes_until_limit() const {
-    std::uint64_t left = send_limit_ - std::min(send_limit_, pipe_->taken());
+    std::uint64_t left = send_limit_ - std::min(send_limit_, pipe_->taken_bytes());
     return static_cast<std::size_t>(std::min<std::uint64_t>(SIZE_MAX, left));
   }
   // Framing counts as body here, so that never more is reported as written than is.
   void report_written(transport::Network& network, transport::SlotRef connection) {
-    std::uint64_t unsent = network.unsent(connection);
-    std::uint64_t taken = pipe_->taken();
-    pipe_->written(taken - std::min(taken, unsent));
+    std::uint64_t unsent = network.unsent_bytes(connection);
+    std::uint64_t taken = pipe_->taken_bytes();
+    pipe_->mark_written(taken - std::min(taken, unsent));
   }
 
   std::shared_ptr<streaming::Pipe> pipe_;
--- a/src/http/client_server.cpp
+++ b/src/http/client_server.cpp
@@ -61,7 +61,7 @@
     return on_upload_bytes(connection, *session, bytes);
   feed_parser(*session, bytes);
   // Bounds the memory for what a client sends ahead while its request is open.
-  if (session->is_busy() && session->parser.buffered() > protocol::kMostHead)
+  if (session->is_busy() && session->parser.buffered() > protocol::kMaximumHeadBytes)
     pause_reading(connection, *session, true);
   process_messages(connection);
 }
@@ -103,7 +103,7 @@
     platform_.deadlines.drop(session->request_deadline);
     unmark_idle(*session);
     session->keep_alive = message->keep_alive;
-    session->http_1_0 = message->old;
+    session->http_1_0 = message->http_1_0;
     handle_message(connection, std::move(*message));
   }
 }
@@ -116,7 +116,7 @@
     platform_.network.send(connection, protocol::write_response(100, {}, {}, true));
   if (idle_.contains(session.age))
     unmark_idle(session);
-  if (session.request_deadline.order == 0)
+  if (!session.request_deadline.is_set())
     schedule_request_deadline(connection, session, kLaterRequestLimit);
 }
 
@@ -152,10 +152,10 @@
     return;
   if (paused) {
     session.paused_since = platform_.clock.now();
-  } else if (!platform_.network.unread(connection)) {
+  } else if (!platform_.network.has_unread(connection)) {
     session.paused_since.reset();
   }
-  platform_.network.hold(connection, paused);
+  platform_.network.pause_reading(connection, paused);
 }
 
 // Bytes read after a pause count as arrived when it began.
@@ -174,7 +174,7 @@
 bool ClientServer::stays_open(SlotRef connection, const Session& session) const {
   bool closing = stage_ >= Stage::Closing;
   return session.keep_alive &&
-         (!closing || !session.parser.idle() || platform_.network.unread(connection));
+         (!closing || !session.parser.idle() || platform_.network.has_unread(connection));
 }
 
 void ClientServer::respond(SlotRef connection, int status, const Headers& headers,
@@ -269,7 +269,7 @@
     bool silent = sessions_.at(connection).parser.idle();
     if (rule == ShedRule::OnlySilent && !silent)
       continue;
-    if (platform_.network.unread(connection))
+    if (platform_.network.has_unread(connection))
       continue;
     platform_.log.line("shed", "a client connection without a request was closed to make room");
     remove_session(connection);
@@ -288,7 +288,7 @@
 // By value: remove_session() changes the map that the candidates come from.
 void ClientServer::finish_idle(ConnectionsByAge candidates) {
   for (auto [age, connection] : candidates) {
-    if (!sessions_.at(connection).parser.idle() || platform_.network.unread(connection))
+    if (!sessions_.at(connection).parser.idle() || platform_.network.has_unread(connection))
       continue;
     remove_session(connection);
     platform_.network.finish(connection);
--- a/src/http/client_server_hot_restart.cpp
+++ b/src/http/client_server_hot_restart.cpp
@@ -16,7 +16,7 @@
 
 bool ClientServer::try_pass_on(SlotRef connection) {
   Session* session = find(connection);
-  if (!pass_on_ || !session || session->is_busy() || session->resume.order != 0)
+  if (!pass_on_ || !session || session->is_busy() || session->resume.is_set())
     return false;
   std::optional<std::string> unread = session->parser.unread();
   if (!unread)
--- a/src/http/client_server_requests.cpp
+++ b/src/http/client_server_requests.cpp
@@ -107,8 +107,8 @@
     connection_of_[admitted] = connection;
     if (!message.streamed)
       return;
-    if (session.parser.passing().framing() == protocol::Framing::Length)
-      payload->length = session.parser.passing().length();
+    if (session.parser.body_reader().framing() == protocol::Framing::Length)
+      payload->length = session.parser.body_reader().length();
     begin_upload(connection, session, payload->upload, message);
   };
   using Taking = routing::Router::Taking;
--- a/src/http/client_server_streams.cpp
+++ b/src/http/client_server_streams.cpp
@@ -15,7 +15,7 @@
   if (!streaming_)
     return true;
   streaming::Budget& budget = *streaming_->budget;
-  if (!budget.spare(uploads ? 2 : 1))
+  if (!budget.can_open(uploads ? 2 : 1))
     return false;
   if (uploads)
     payload.upload = std::make_shared<streaming::Pipe>(*budget.open(), streaming_->replay_bytes);
@@ -37,12 +37,12 @@
                                 std::shared_ptr<streaming::Pipe> upload, const Message& message) {
   session.transfer = std::make_unique<Transfer>();
   Transfer& transfer = *session.transfer;
-  transfer.upload_reader = session.parser.pass();
+  transfer.upload_reader = session.parser.take_body_reader();
   bool expects = protocol::same_name(message.header("Expect"), "100-continue");
   transfer.awaits_continue = expects && !transfer.upload_reader.done();
   transfer.upload = std::move(upload);
   transfer.upload->append(message.body);
-  transfer.upload->on_room = [this, connection] {
+  transfer.upload->on_capacity = [this, connection] {
     grant_upload(connection);
   };
   schedule_stall_check(connection, transfer);
@@ -61,12 +61,12 @@
   Transfer& transfer = *session->transfer;
   if (!transfer.upload || transfer.upload_reader.done())
     return;
-  if (transfer.awaits_continue && transfer.upload->wanted()) {
+  if (transfer.awaits_continue && transfer.upload->started()) {
     transfer.awaits_continue = false;
     platform_.network.send(connection, protocol::write_response(100, {}, {}, true));
   }
-  std::size_t capacity = transfer.upload->room();
-  platform_.network.grant(connection, capacity);
+  std::size_t capacity = transfer.upload->capacity();
+  platform_.network.permit_reading(connection, capacity);
   transfer.upload_stall.set_waiting(platform_.clock.now(),
                                     capacity > 0 && !transfer.awaits_continue);
 }
@@ -82,8 +82,8 @@
       upload->append(body);
     };
     used = transfer.upload_reader.read(bytes, append);
-    if (upload->appended() > kBulkThresholdBytes)
-      platform_.network.bulk(connection, true);
+    if (upload->appended_bytes() > kBulkThresholdBytes)
+      platform_.network.set_bulk(connection, true);
   } catch (const protocol::HttpError& error) {
     return abort_upload(connection, error.status, error.what());
   }
@@ -95,7 +95,7 @@
   open->transfer->upload_stall.set_waiting(platform_.clock.now(), false);
   feed_parser(*open, bytes.substr(used));
   pause_reading(connection, *open, false);
-  platform_.network.hold(connection, false);
+  platform_.network.pause_reading(connection, false);
   upload->finish();
 }
 
@@ -119,11 +119,12 @@
   Transfer& transfer = *session.transfer;
   if (!transfer.upload)
     return;
-  transfer.upload->on_room = nullptr;
+  transfer.upload->on_capacity = nullptr;
   if (!transfer.upload_reader.done()) {
     session.keep_alive = false;
-    transfer.upload->break_off();
-    platform_.network.hold(connection, true);  // finish() discards it once the response is written
+    transfer.upload->abort();
+    platform_.network.pause_reading(connection,
+                                    true);  // finish() discards it once the response is written
   }
   transfer.upload.reset();
   transfer.upload_stall.set_waiting(platform_.clock.now(), false);
@@ -164,16 +165,16 @@
     return;
   transport::Network& network = platform_.network;
   Transfer& transfer = *session->transfer;
-  if (transfer.reply->pipe()->broken())
+  if (transfer.reply->pipe()->aborted())
     return abort_reply(connection, "the instance broke it off");
   transfer.reply->send_available(network, connection);
-  transfer.reply_stall.set_waiting(platform_.clock.now(), network.unsent(connection) > 0);
+  transfer.reply_stall.set_waiting(platform_.clock.now(), network.unsent_bytes(connection) > 0);
   if (transfer.reply->all_taken() && !std::exchange(transfer.reply_terminated, true)) {
     network.send(connection, transfer.reply->terminator());
-    transfer.reply_stall.set_waiting(platform_.clock.now(), network.unsent(connection) > 0);
+    transfer.reply_stall.set_waiting(platform_.clock.now(), network.unsent_bytes(connection) > 0);
   }
   // The memory of the reply is in use until its last byte has been written.
-  if (transfer.reply_terminated && network.unsent(connection) == 0)
+  if (transfer.reply_terminated && network.unsent_bytes(connection) == 0)
     end_reply(connection);
 }
 
@@ -243,9 +244,9 @@
     return;
   Transfer& transfer = *session.transfer;
   if (transfer.upload) {
-    transfer.upload->on_room = nullptr;
+    transfer.upload->on_capacity = nullptr;
     if (!transfer.upload_reader.done())
-      transfer.upload->break_off();
+      transfer.upload->abort();
   }
   if (transfer.reply) {
     transfer.reply->pipe()->on_data = nullptr;
@@ -254,7 +255,7 @@
   }
   platform_.deadlines.drop(transfer.stall_check);
   session.transfer.reset();
-  platform_.network.bulk(connection, false);
+  platform_.network.set_bulk(connection, false);
 }
 
 }  // namespace dispatcher::http
--- a/src/http/worker_client.cpp
+++ b/src/http/worker_client.cpp
@@ -91,7 +91,7 @@
     call.transfer = upload_transfer(http_payload);
   if (start_call(std::move(call), {})) {
     if (upload)
-      upload->begin();
+      upload->start();
     return;
   }
   remove_attempt(attempt);
@@ -119,7 +119,7 @@
   ActiveAttempt& active = it->second;
   if (active.connection) {
     bool may_run = fully_sent(attempt);
-    if (may_run && platform_.network.unread(*active.connection)) {
+    if (may_run && platform_.network.has_unread(*active.connection)) {
       platform_.deadlines.drop(active.next_cancellation);
       active.next_cancellation =
           platform_.deadlines.add(platform_.clock.now(), [this, attempt] { cancel(attempt); });
--- a/src/http/worker_client_calls.cpp
+++ b/src/http/worker_client_calls.cpp
@@ -115,7 +115,7 @@
   }
   // The worker may have closed the connection, which is read first: sockets are served first in the
   // next turn.
-  if (platform_.network.unread(connection))
+  if (platform_.network.has_unread(connection))
     return schedule_last_byte(connection, *call, transport::Duration(0));
   platform_.network.send(connection, std::exchange(call->held_back_byte, {}));
   on_call_written(connection, *call);
@@ -127,7 +127,7 @@
 }
 
 void WorkerClient::on_call_written(SlotRef connection, Call& call) {
-  if (call.connect_deadline.order != 0 || platform_.network.unsent(connection) > 0)
+  if (call.connect_deadline.is_set() || platform_.network.unsent_bytes(connection) > 0)
     return;
   if (call.kind == CallKind::Cancel)
     return on_cancellation_written(call);
--- a/src/http/worker_client_streams.cpp
+++ b/src/http/worker_client_streams.cpp
@@ -43,20 +43,20 @@
   // The last byte starts the job. Input is read before it is sent: the worker may have closed the
   // connection, and the byte would be lost without proof.
   bool may_send_last_byte = transfer.last_byte_allowed && transfer.upload->only_last_byte_left();
-  if (!transfer.upload_sent && may_send_last_byte && !network.unread(connection)) {
+  if (!transfer.upload_sent && may_send_last_byte && !network.has_unread(connection)) {
     transfer.upload->release_last_byte();
     transfer.upload->send_available(network, connection);
     transfer.upload_sent = true;
     network.send(connection, transfer.upload->terminator());
   }
-  bool unsent = network.unsent(connection) > 0;
+  bool unsent = network.unsent_bytes(connection) > 0;
   transfer.upload_stall.set_waiting(platform_.clock.now(), unsent);
   if (!transfer.upload_sent || unsent)
     return;
   on_call_written(connection, *call);
   transfer.upload->pipe()->on_data = nullptr;
   transfer.upload.reset();
-  network.bulk(connection, false);
+  network.set_bulk(connection, false);
   if (call->accepted_early)
     finish_early_accepted(connection);
 }
@@ -88,7 +88,7 @@
   if (transfer.reply_reader.done()) {
     end_reply(connection);
   } else {
-    transfer.reply->on_room = [this, connection] {
+    transfer.reply->on_capacity = [this, connection] {
       grant_reply(connection);
     };
     grant_reply(connection);
@@ -125,8 +125,8 @@
   platform_.deadlines.drop(call.last_byte_delay);
   platform_.deadlines.drop(call.answer_deadline);
   transfer.reply = call.reply;
-  transfer.reply_reader = call.parser.pass();
-  if (transfer.stall_check.order == 0)
+  transfer.reply_reader = call.parser.take_body_reader();
+  if (!transfer.stall_check.is_set())
     schedule_stall_check(connection, transfer);
   transfer.reply->append(head.body);
   return transfer;
@@ -142,8 +142,8 @@
     drop_call(connection);
     return platform_.network.reset(connection);
   }
-  std::size_t capacity = transfer.reply->room();
-  platform_.network.grant(connection, capacity);
+  std::size_t capacity = transfer.reply->capacity();
+  platform_.network.permit_reading(connection, capacity);
   transfer.reply_stall.set_waiting(platform_.clock.now(), capacity > 0);
 }
 
@@ -159,8 +159,8 @@
       reply->append(body);
     };
     used = transfer.reply_reader.read(bytes, append);
-    if (reply->appended() > kBulkThresholdBytes)
-      platform_.network.bulk(connection, true);
+    if (reply->appended_bytes() > kBulkThresholdBytes)
+      platform_.network.set_bulk(connection, true);
   } catch (const protocol::HttpError& error) {
     platform_.log.line("instance", call.worker + ": malformed reply: " + error.what());
     return abort_reply(connection);
@@ -180,8 +180,8 @@
   std::shared_ptr<streaming::Pipe> reply = call.transfer->reply;
   drop_transfer(call);
   drop_call(connection);
-  platform_.network.bulk(connection, false);
-  platform_.network.hold(connection, false);
+  platform_.network.set_bulk(connection, false);
+  platform_.network.pause_reading(connection, false);
   reuse_or_close(connection, call.worker, call.keep_connection);
   reply->finish();
 }
@@ -190,7 +190,7 @@
   std::shared_ptr<streaming::Pipe> reply = calls_.at(connection).transfer->reply;
   drop_call(connection);
   platform_.network.reset(connection);
-  reply->break_off();
+  reply->abort();
 }
 
 void WorkerClient::on_written(SlotRef connection) {
@@ -234,7 +234,7 @@
   if (call.transfer->upload)
     call.transfer->upload->pipe()->on_data = nullptr;
   if (call.transfer->reply)
-    call.transfer->reply->on_room = nullptr;
+    call.transfer->reply->on_capacity = nullptr;
   call.transfer.reset();
 }
 
--- a/src/protocol/body.h
+++ b/src/protocol/body.h
@@ -1,10 +1,10 @@
-// The body of an HTTP/1.1 message, piece by piece: a reader that takes the framing off as bytes
-// come, and a writer that puts one on. Bytes in, bytes out.
+// The body of an HTTP/1.1 message, piece by piece: a reader that removes the framing as bytes
+// arrive, and a writer that adds it. No sockets, no clock.
 #pragma once
 
+#include <algorithm>
 #include <cstddef>
 #include <cstdint>
-#include <functional>
 #include <string>
 #include <string_view>
 
@@ -16,57 +16,68 @@
 
 class BodyReader {
  public:
-  BodyReader() = default;  // of a message without a body
-  // `length` counts for Framing::Length. A longer body than `most` is an HttpError 413.
-  BodyReader(Framing framing, std::uint64_t length, std::uint64_t most);
+  // Of a message without a body.
+  BodyReader() = default;
+  // `length` applies to Framing::Length. Throws HttpError 413 where the body is longer than
+  // `maximum` bytes, here or in read().
+  BodyReader(Framing framing, std::uint64_t length, std::uint64_t maximum);
 
-  // Calls out(bytes) for what belongs to the body and returns how much of `in` is used up: all of
-  // it, unless the body ends before. Chunk extensions and trailers are read over. Throws HttpError.
+  // Calls out(bytes) for what belongs to the body and returns how much of `input` is used: all of
+  // it, unless the body ends before. Chunk extensions and trailers are skipped. Throws HttpError.
   template <class Out>
-  std::size_t read(std::string_view in, Out out) {
+  std::size_t read(std::string_view input, Out out) {
     std::size_t used = 0;
-    while (used < in.size() && !done()) {
-      std::string_view rest = in.substr(used);
+    while (used < input.size() && !done()) {
+      std::string_view rest = input.substr(used);
       if (left_ > 0 || framing_ == Framing::UntilClose) {
-        std::size_t n = framing_ == Framing::UntilClose
-                            ? rest.size()
-                            : std::min<std::uint64_t>(rest.size(), left_);
-        count(n);
-        out(rest.substr(0, n));
-        used += n;
+        std::size_t count = data_bytes(rest.size());
+        consume_data(count);
+        out(rest.substr(0, count));
+        used += count;
       } else {
-        used += between(rest);
+        used += consume_framing(rest);
       }
     }
     return used;
   }
   bool done() const { return stage_ == Stage::Done; }
-  void closed();  // the peer has closed: a body without a length ends here
+  // The peer has closed the connection: a body without a length ends here.
+  void closed();
   Framing framing() const { return framing_; }
-  std::uint64_t length() const { return length_; }  // as declared, for Framing::Length
-  std::uint64_t bytes() const { return read_; }     // of the body so far
+  // As declared, for Framing::Length.
+  std::uint64_t length() const { return length_; }
+  // Bytes of the body so far.
+  std::uint64_t bytes() const { return read_; }
 
  private:
   enum class Stage { Data, ChunkEnd, ChunkLine, Trailers, Done };
-  void count(std::size_t n);
-  std::size_t between(std::string_view in);
-  void line(std::string_view text);
+
+  std::size_t data_bytes(std::size_t available) const {
+    if (framing_ == Framing::UntilClose)
+      return available;
+    return static_cast<std::size_t>(std::min<std::uint64_t>(available, left_));
+  }
+  void consume_data(std::size_t count);
+  std::size_t consume_framing(std::string_view input);
+  void on_framing_line(std::string_view text);
+  void on_chunk_line(std::string_view text);
 
   Framing framing_ = Framing::Length;
   Stage stage_ = Stage::Done;
   std::uint64_t length_ = 0;
-  std::uint64_t left_ = 0;
+  std::uint64_t left_ = 0;  // of the body or of the chunk
   std::uint64_t read_ = 0;
-  std::uint64_t most_ = 0;
-  std::string line_;  // of the framing, as far as it has come
+  std::uint64_t maximum_ = 0;
+  std::string line_;  // of the framing, as far as it has arrived
   std::size_t trailer_bytes_ = 0;
 };
 
-// Puts a framing on. Its last byte goes out by itself where the caller wants to hold it back.
+// Adds a framing. The caller sends end() itself, as it may have to hold back the last byte.
 class BodyWriter {
  public:
   explicit BodyWriter(Framing framing) : framing_(framing) {}
-  template <class Send>  // send(std::string) and send(Slice)
+  // Calls send(std::string) and send(transport::Slice).
+  template <class Send>
   void piece(transport::Slice bytes, Send send) const {
     if (framing_ != Framing::Chunked)
       return send(std::move(bytes));
--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -6,50 +6,57 @@
 namespace dispatcher::protocol {
 namespace {
 
-char lower(char c) {
-  return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c;
+char to_lower(char letter) {
+  return letter >= 'A' && letter <= 'Z' ? static_cast<char>(letter + 32) : letter;
 }
 
-bool is_token(std::string_view s) {
-  return !s.empty() && std::ranges::all_of(s, [](char c) {
-    return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
-           std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos;
-  });
+bool is_token_character(char character) {
+  return (character >= '0' && character <= '9') || (character >= 'a' && character <= 'z') ||
+         (character >= 'A' && character <= 'Z') ||
+         std::string_view("!#$%&'*+-.^_`|~").find(character) != std::string_view::npos;
 }
 
-bool is_text(std::string_view s) {
-  return std::ranges::none_of(s, [](unsigned char c) { return (c < 32 && c != '\t') || c == 127; });
+bool is_token(std::string_view text) {
+  return !text.empty() && std::ranges::all_of(text, is_token_character);
 }
 
-std::string_view trim(std::string_view s) {
-  while (!s.empty() && (s.front() == ' ' || s.front() == '\t'))
-    s.remove_prefix(1);
-  while (!s.empty() && (s.back() == ' ' || s.back() == '\t'))
-    s.remove_suffix(1);
-  return s;
+bool is_control(unsigned char character) {
+  return (character < 32 && character != '\t') || character == 127;
 }
 
-bool lists(std::string_view value, std::string_view word) {  // "a, word, b"
-  for (bool more = true; more;) {
-    std::size_t comma = value.find(',');
-    if (same_name(trim(value.substr(0, comma)), word))
+bool is_text(std::string_view text) {
+  return std::ranges::none_of(text, is_control);
+}
+
+std::string_view trim(std::string_view text) {
+  while (!text.empty() && (text.front() == ' ' || text.front() == '\t'))
+    text.remove_prefix(1);
+  while (!text.empty() && (text.back() == ' ' || text.back() == '\t'))
+    text.remove_suffix(1);
+  return text;
+}
+
+// Whether a list as in "a, word, b" has the word.
+bool list_contains(std::string_view list, std::string_view word) {
+  for (;;) {
+    std::size_t comma = list.find(',');
+    if (same_name(trim(list.substr(0, comma)), word))
       return true;
-    more = comma != std::string_view::npos;
-    if (more)
-      value.remove_prefix(comma + 1);
+    if (comma == std::string_view::npos)
+      return false;
+    list.remove_prefix(comma + 1);
   }
-  return false;
 }
 
-std::optional<std::size_t> whole_number(std::string_view s, int base) {
+std::optional<std::size_t> parse_decimal(std::string_view text) {
   std::size_t value = 0;
-  auto [end, error] = std::from_chars(s.data(), s.data() + s.size(), value, base);
-  if (s.empty() || error != std::errc() || end != s.data() + s.size())
+  auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+  if (text.empty() || error != std::errc() || end != text.data() + text.size())
     return std::nullopt;
   return value;
 }
 
-const char* reason(int status) {
+const char* reason_phrase(int status) {
   switch (status) {
     case 100:
       return "Continue";
@@ -84,45 +91,49 @@
   }
 }
 
-void write_rest(std::string& out, const Headers& headers, std::string_view body, bool with_length) {
+enum class ContentLength { Omitted, Written };
+
+void append_headers_and_body(std::string& out, const Headers& headers, std::string_view body,
+                             ContentLength content_length) {
   for (const auto& [name, value] : headers)
     out.append(name).append(": ").append(value).append("\r\n");
-  if (with_length)
+  if (content_length == ContentLength::Written)
     out.append("Content-Length: ").append(std::to_string(body.size())).append("\r\n");
   out.append("\r\n").append(body);
 }
 
 }  // namespace
 
-bool same_name(std::string_view a, std::string_view b) {
-  return std::ranges::equal(a, b, {}, lower, lower);
+bool same_name(std::string_view left, std::string_view right) {
+  return std::ranges::equal(left, right, {}, to_lower, to_lower);
 }
 
 std::string_view Message::header(std::string_view name) const {
-  for (const auto& [n, value] : headers) {
-    if (same_name(n, name))
+  for (const auto& [header_name, value] : headers) {
+    if (same_name(header_name, name))
       return value;
   }
   return {};
 }
 
 bool Message::has(std::string_view name) const {
-  return std::ranges::any_of(headers, [&](const auto& h) { return same_name(h.first, name); });
+  return std::ranges::any_of(headers,
+                             [&](const auto& header) { return same_name(header.first, name); });
 }
 
 std::optional<Message> Parser::next() {
-  if (stage_ == Stage::Head && !head())
+  if (stage_ == Stage::Head && !parse_head())
     return std::nullopt;
-  // All that has come at once and not chunk by chunk: tiny chunks must not cost the buffer's length
-  // each.
-  std::size_t used =
-      body_.read(buffer_, [this](std::string_view bytes) { message_.body += bytes; });
+  // Erased once and not chunk by chunk: many tiny chunks would cost the buffer's length each.
+  auto append = [this](std::string_view bytes) {
+    message_.body += bytes;
+  };
+  std::size_t used = body_.read(buffer_, append);
   buffer_.erase(0, used);
-  bool passes = streams_this_ && (!body_.done() || message_.body.size() > most_body_);
-  if (!passes && !body_.done())
+  message_.streamed = streams_message_ && (!body_.done() || message_.body.size() > maximum_body_);
+  if (!message_.streamed && !body_.done())
     return std::nullopt;
-  message_.streamed = passes;
-  return take();
+  return take_message();
 }
 
 std::optional<Message> Parser::at_end() {
@@ -132,40 +143,40 @@
   if (!body_.done())
     return std::nullopt;
   message_.keep_alive = false;
-  return take();
+  return take_message();
 }
 
 std::optional<std::string> Parser::unread() const {
   if (stage_ == Stage::Head)
     return buffer_;
-  if (kind_ != Kind::Request || streams_this_ || body_.framing() != Framing::Length ||
+  if (kind_ != Kind::Request || streams_message_ || body_.framing() != Framing::Length ||
       message_.has("Expect"))
     return std::nullopt;
-  std::string text =
-      message_.method + " " + message_.target + (message_.old ? " HTTP/1.0" : " HTTP/1.1");
-  return write_head(text, message_.headers) + message_.body + buffer_;
+  const char* version = message_.http_1_0 ? " HTTP/1.0" : " HTTP/1.1";
+  std::string first_line = message_.method + " " + message_.target + version;
+  return write_head(first_line, message_.headers) + message_.body + buffer_;
 }
 
 bool Parser::take_continue() {
-  return std::exchange(expects_, false) && stage_ != Stage::Head;
+  return std::exchange(expects_continue_, false) && stage_ != Stage::Head;
 }
 
-BodyReader Parser::pass() {
+BodyReader Parser::take_body_reader() {
   return std::exchange(body_, {});
 }
 
-bool Parser::head() {
-  // Some clients send an empty line after a body. All at once: a flood of them must not cost its
-  // length squared.
-  std::size_t empty = 0;
-  while (buffer_.compare(empty, 2, "\r\n") == 0)
-    empty += 2;
-  buffer_.erase(0, empty);
-  // From a little before what was searched last time: a head that drips in must not cost its length
+bool Parser::parse_head() {
+  // Some clients send an empty line after a body. Erased together, so that a flood of them does not
+  // cost its length squared.
+  std::size_t empty_lines = 0;
+  while (buffer_.compare(empty_lines, 2, "\r\n") == 0)
+    empty_lines += 2;
+  buffer_.erase(0, empty_lines);
+  // Continues the last search, so that a head that arrives in small pieces does not cost its length
   // squared.
   std::size_t end = buffer_.find("\r\n\r\n", scanned_ > 3 ? scanned_ - 3 : 0);
   scanned_ = buffer_.size();
-  if (std::min(end, buffer_.size()) > kMostHead)
+  if (std::min(end, buffer_.size()) > kMaximumHeadBytes)
     throw HttpError(431, "head too long");
   if (end == std::string::npos)
     return false;
@@ -173,113 +184,121 @@
   buffer_.erase(0, end + 4);
   scanned_ = 0;
   message_ = {};
-  std::size_t at = head.find("\r\n");
-  start_line(std::string_view(head).substr(0, at));
-  for (at += 2; at < head.size();) {
-    std::size_t stop = head.find("\r\n", at);
-    header_line(std::string_view(head).substr(at, stop - at));
-    at = stop + 2;
+  std::size_t line_end = head.find("\r\n");
+  parse_start_line(std::string_view(head).substr(0, line_end));
+  for (std::size_t start = line_end + 2; start < head.size(); start = line_end + 2) {
+    line_end = head.find("\r\n", start);
+    parse_header_line(std::string_view(head).substr(start, line_end - start));
   }
-  framing();
+  begin_body();
   return true;
 }
 
-void Parser::start_line(std::string_view line) {
-  std::size_t first = line.find(' ');
-  if (!is_text(line) || first == std::string_view::npos)
+void Parser::parse_start_line(std::string_view line) {
+  if (!is_text(line) || line.find(' ') == std::string_view::npos)
     throw HttpError(400, "malformed first line");
-  std::string_view version;
-  if (kind_ == Kind::Request) {
-    std::size_t last = line.rfind(' ');
-    message_.method = line.substr(0, first);
-    version = line.substr(last + 1);
-    if (last == first || !is_token(message_.method))
-      throw HttpError(400, "malformed request line");
-    message_.target = line.substr(first + 1, last - first - 1);
-    // It passes on to workers as it is: what they could not read must not reach them.
-    bool plain = std::ranges::all_of(message_.target, [](char c) { return c > ' ' && c < 127; });
-    if (!message_.target.starts_with('/') || !plain)
-      throw HttpError(400, "malformed request target");
-  } else {
-    version = line.substr(0, first);
-    auto status = whole_number(line.substr(first + 1, 3), 10);
-    bool ends = line.size() == first + 4 || (line.size() > first + 4 && line[first + 4] == ' ');
-    if (!status || !ends || *status < 100 || *status > 999)
-      throw HttpError(502, "malformed status line");
-    message_.status = static_cast<int>(*status);
-  }
+  std::string_view version =
+      kind_ == Kind::Request ? parse_request_line(line) : parse_status_line(line);
   if (!version.starts_with("HTTP/"))
     throw HttpError(400, "not HTTP");
   if (version != "HTTP/1.1" && version != "HTTP/1.0")
     throw HttpError(505, "HTTP version not supported");
-  message_.keep_alive = version == "HTTP/1.1";
-  message_.old = !message_.keep_alive;
+  message_.http_1_0 = version == "HTTP/1.0";
+  message_.keep_alive = !message_.http_1_0;
+}
+
+// Returns the version.
+std::string_view Parser::parse_request_line(std::string_view line) {
+  std::size_t first = line.find(' ');
+  std::size_t last = line.rfind(' ');
+  message_.method = line.substr(0, first);
+  if (last == first || !is_token(message_.method))
+    throw HttpError(400, "malformed request line");
+  message_.target = line.substr(first + 1, last - first - 1);
+  // The target is sent to workers as it is, so that it must be one they can read.
+  bool printable = std::ranges::all_of(
+      message_.target, [](char character) { return character > ' ' && character < 127; });
+  if (!message_.target.starts_with('/') || !printable)
+    throw HttpError(400, "malformed request target");
+  return line.substr(last + 1);
+}
+
+// Returns the version.
+std::string_view Parser::parse_status_line(std::string_view line) {
+  std::size_t first = line.find(' ');
+  std::size_t end = first + 4;  // of a status of three digits
+  std::optional<std::size_t> status = parse_decimal(line.substr(first + 1, 3));
+  bool ends = line.size() == end || (line.size() > end && line[end] == ' ');
+  if (!status || !ends || *status < 100 || *status > 999)
+    throw HttpError(502, "malformed status line");
+  message_.status = static_cast<int>(*status);
+  return line.substr(0, first);
 }
 
-void Parser::header_line(std::string_view line) {
+void Parser::parse_header_line(std::string_view line) {
   std::size_t colon = line.find(':');
   if (colon == std::string_view::npos || !is_token(line.substr(0, colon)) || !is_text(line))
     throw HttpError(400, "malformed header");
   message_.headers.emplace_back(line.substr(0, colon), trim(line.substr(colon + 1)));
 }
 
-void Parser::framing() {
-  if (lists(message_.header("Connection"), "keep-alive"))
+void Parser::begin_body() {
+  if (list_contains(message_.header("Connection"), "keep-alive"))
     message_.keep_alive = true;
-  if (lists(message_.header("Connection"), "close"))
+  if (list_contains(message_.header("Connection"), "close"))
     message_.keep_alive = false;
   std::optional<std::size_t> length;
   bool chunked = false;
   for (const auto& [name, value] : message_.headers) {
     if (same_name(name, "Content-Length")) {
-      auto n = whole_number(value, 10);
-      if (!n || length)
+      std::optional<std::size_t> number = parse_decimal(value);
+      if (!number || length)
         throw HttpError(400, "malformed Content-Length");
-      length = n;
+      length = number;
     } else if (same_name(name, "Transfer-Encoding")) {
       if (!same_name(value, "chunked") || chunked)
         throw HttpError(501, "transfer coding not supported");
       chunked = true;
     }
   }
-  // Guards against request smuggling: two framings of one message are two opinions on where the
-  // next begins.
+  // Prevents request smuggling: another reader might choose the other framing.
   if (chunked && length)
     throw HttpError(400, "both Content-Length and Transfer-Encoding");
-  expects_ = same_name(message_.header("Expect"), "100-continue");
+  expects_continue_ = same_name(message_.header("Expect"), "100-continue");
   bool bodiless = message_.status == 204 || message_.status == 304 || message_.status / 100 == 1;
-  bool until_close = kind_ == Kind::Response && !length && !chunked && !bodiless;
+  Framing framing = Framing::Length;
   if (bodiless) {
     length = 0;
-    chunked = false;
+  } else if (chunked) {
+    framing = Framing::Chunked;
+  } else if (kind_ == Kind::Response && !length) {
+    framing = Framing::UntilClose;
   }
-  streams_this_ = streams_ && streams_(message_);
-  body_ = BodyReader(chunked       ? Framing::Chunked
-                     : until_close ? Framing::UntilClose
-                                   : Framing::Length,
-                     length.value_or(0), streams_this_ ? most_streamed_ : most_body_);
+  streams_message_ = stream_filter_ && stream_filter_(message_);
+  std::uint64_t maximum = streams_message_ ? maximum_streamed_body_ : maximum_body_;
+  body_ = BodyReader(framing, length.value_or(0), maximum);
   stage_ = Stage::Body;
 }
 
-Message Parser::take() {
+Message Parser::take_message() {
   stage_ = Stage::Head;
   scanned_ = 0;
-  expects_ = false;
+  expects_continue_ = false;
   if (!message_.streamed)
     body_ = {};
   if (buffer_.empty())
-    buffer_.shrink_to_fit();  // an idle connection keeps no 64 KiB
+    buffer_.shrink_to_fit();  // idle connections keep no memory
   return std::exchange(message_, {});
 }
 
 std::string write_head(const std::string& first_line, const Headers& headers) {
   std::string out = first_line + "\r\n";
-  write_rest(out, headers, {}, false);
+  append_headers_and_body(out, headers, {}, ContentLength::Omitted);
   return out;
 }
 
 std::string write_response_head(int status, const Headers& headers, bool keep_alive) {
-  std::string first = "HTTP/1.1 " + std::to_string(status) + " " + reason(status);
+  std::string first = "HTTP/1.1 " + std::to_string(status) + " " + reason_phrase(status);
   return write_head(keep_alive ? first : first + "\r\nConnection: close", headers);
 }
 
@@ -287,16 +306,19 @@
                           std::string_view body) {
   std::string out;
   out.append(method).append(" ").append(target).append(" HTTP/1.1\r\n");
-  write_rest(out, headers, body, method == "POST");
+  append_headers_and_body(out, headers, body,
+                          method == "POST" ? ContentLength::Written : ContentLength::Omitted);
   return out;
 }
 
 std::string write_response(int status, const Headers& headers, std::string_view body,
                            bool keep_alive) {
-  std::string out = "HTTP/1.1 " + std::to_string(status) + " " + reason(status) + "\r\n";
+  std::string out = "HTTP/1.1 " + std::to_string(status) + " " + reason_phrase(status) + "\r\n";
   if (!keep_alive)
     out += "Connection: close\r\n";
-  write_rest(out, headers, body, status != 204 && status >= 200);
+  bool has_length = status != 204 && status >= 200;
+  append_headers_and_body(out, headers, body,
+                          has_length ? ContentLength::Written : ContentLength::Omitted);
   return out;
 }
 
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -14,9 +14,11 @@
 using scheduling::LoadReport;
 using scheduling::Outcome;
 
-constexpr double kMostMs = 1e9;  // no time or work of a job is longer than eleven days
+constexpr double kMaximumTimeMs = 1e9;  // eleven days
+constexpr double kMaximumLoadValue = 1e9;
+constexpr int kMaximumJsonDepth = 32;
 
-std::optional<double> decimal(std::string_view text) {
+std::optional<double> parse_number(std::string_view text) {
   double value = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (text.empty() || error != std::errc() || end != text.data() + text.size() ||
@@ -25,8 +27,8 @@
   return value;
 }
 
-double need_number(std::string_view text, double low, double high, const char* what) {
-  std::optional<double> value = decimal(text);
+double require_number(std::string_view text, double low, double high, const char* what) {
+  std::optional<double> value = parse_number(text);
   if (!value || *value < low || *value > high)
     throw MessageError(std::string("bad ") + what);
   return *value;
@@ -44,9 +46,11 @@
 scheduling::RequestId parse_request_id(std::string_view text) {
   scheduling::RequestId id = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), id, 16);
-  bool lower = std::ranges::none_of(
-      text, [](char c) { return c >= 'A' && c <= 'F'; });  // one text for one id
-  if (text.size() != 16 || error != std::errc() || end != text.data() + text.size() || !lower)
+  // Only lower case, so that an id has one text.
+  bool has_upper_case =
+      std::ranges::any_of(text, [](char digit) { return digit >= 'A' && digit <= 'F'; });
+  if (text.size() != 16 || error != std::errc() || end != text.data() + text.size() ||
+      has_upper_case)
     throw MessageError("bad X-Correlation-Id");
   return id;
 }
@@ -55,7 +59,7 @@
 
 // Calls visit(name, value) for each pair of "a=1, b=2".
 template <class Visit>
-void each_pair(std::string_view text, Visit visit) {
+void for_each_pair(std::string_view text, Visit visit) {
   while (!text.empty()) {
     std::size_t comma = text.find(',');
     std::string_view pair = text.substr(0, comma);
@@ -73,8 +77,9 @@
   }
 }
 
-// The words on the sockets and on the simulator's wire differ for some fields; both are taken.
-std::string_view report_word(std::string_view name) {
+// Workers and the simulator name some columns of a load report differently. wire: eps, queue,
+// inflight, util
+std::string_view report_column(std::string_view name) {
   if (name == "eps")
     return "fail_rate";
   if (name == "queue")
@@ -86,38 +91,38 @@
   return name;
 }
 
-// A report that makes no sense is dropped whole: the scheduler sees none rather than a wrong one.
-LoadReport report_of(const std::string& pairs, const IdentifierTables& words) {
+// A malformed report is ignored: the scheduler sees none rather than a wrong one.
+LoadReport make_report(const std::string& pairs, const IdentifierTables& tables) {
   try {
-    return settings::read_report(pairs, words.columns);
+    return settings::read_report(pairs, tables.columns);
   } catch (const settings::Malformed&) {
     return {};
   }
 }
 
-void add_pair(std::string& pairs, std::string_view name, double value) {
-  if (!std::isfinite(value) || value < 0 || value > 1e9)
+void append_pair(std::string& pairs, std::string_view name, double value) {
+  if (!std::isfinite(value) || value < 0 || value > kMaximumLoadValue)
     throw MessageError("a load report is out of range");
   if (!pairs.empty())
     pairs += ',';
-  pairs.append(report_word(name)).append(":").append(std::to_string(value));
+  pairs.append(report_column(name)).append(":").append(std::to_string(value));
 }
 
-LoadReport read_load_text(std::string_view text, const IdentifierTables& words) {
+LoadReport read_load_text(std::string_view text, const IdentifierTables& tables) {
   try {
     if (text.starts_with("TEXT"))
       text.remove_prefix(4);
     std::string pairs;
-    each_pair(text, [&](std::string_view name, std::string_view value) {
-      add_pair(pairs, name, need_number(value, 0, 1e9, "load report"));
+    for_each_pair(text, [&](std::string_view name, std::string_view value) {
+      append_pair(pairs, name, require_number(value, 0, kMaximumLoadValue, "load report"));
     });
-    return report_of(pairs, words);
+    return make_report(pairs, tables);
   } catch (const MessageError&) {
     return {};
   }
 }
 
-LoadReport read_load_json(const Json::Value& load, const IdentifierTables& words) {
+LoadReport read_load_json(const Json::Value& load, const IdentifierTables& tables) {
   if (!load.isObject())
     return {};
   try {
@@ -125,16 +130,17 @@
     for (const std::string& name : load.getMemberNames()) {
       if (!load[name].isNumeric())
         throw MessageError("a load report's value is no number");
-      add_pair(pairs, name, load[name].asDouble());
+      append_pair(pairs, name, load[name].asDouble());
     }
-    return report_of(pairs, words);
+    return make_report(pairs, tables);
   } catch (const MessageError&) {
     return {};
   }
 }
 
-bool never_ran(const Message& m) {
-  return (m.status == 503 || m.status == 504) && m.header("X-Unprocessed") == "1";
+// The worker vouches that the job has not begun. wire: X-Unprocessed
+bool is_rejection(const Message& message) {
+  return (message.status == 503 || message.status == 504) && message.header("X-Unprocessed") == "1";
 }
 
 }  // namespace
@@ -142,15 +148,15 @@
 Json::Value parse_json(std::string_view text) {
   Json::CharReaderBuilder builder;
   Json::CharReaderBuilder::strictMode(&builder.settings_);
-  builder["stackLimit"] = 32;  // guards the stack against "[[[[..."
+  builder["stackLimit"] = kMaximumJsonDepth;
   std::unique_ptr<Json::CharReader> reader(builder.newCharReader());
   Json::Value value;
   std::string errors;
   try {
     if (reader->parse(text.data(), text.data() + text.size(), &value, &errors))
       return value;
-  } catch (const Json::Exception& e) {
-    throw MessageError(std::string("bad JSON: ") + e.what());
+  } catch (const Json::Exception& error) {
+    throw MessageError(std::string("bad JSON: ") + error.what());
   }
   std::replace(errors.begin(), errors.end(), '\n', ' ');
   throw MessageError("bad JSON: " + errors);
@@ -164,93 +170,116 @@
 
 // ---- Clients ----
 
-bool is_request_path(std::string_view target) {
-  std::string_view path = target.substr(0, target.find('?'));
-  return path == "/api" || path.starts_with("/api/");
-}
+namespace {
 
-ClientRequest parse_client_request(Message&& m, const IdentifierTables& words) {
-  ClientRequest c;
-  // Said twice it could mean either; nobody may later read it the other way.
+// A header given twice could be read either way by another program.
+void check_not_repeated(const Headers& headers) {
   for (const char* name :
        {"X-Correlation-Id", "X-Service-Class", "X-Account", "X-Time-Left-Ms", "Idempotency-Key"}) {
-    if (std::ranges::count_if(m.headers, [&](const auto& h) { return same_name(h.first, name); }) >
-        1)
+    auto count = std::ranges::count_if(
+        headers, [&](const auto& header) { return same_name(header.first, name); });
+    if (count > 1)
       throw MessageError(std::string("repeated ") + name);
   }
-  c.id = m.header("X-Correlation-Id");
-  c.request.id = parse_request_id(c.id);
-  auto job_class = index_of(words.classes, m.header("X-Service-Class"));
-  if (!job_class || words.dropped[*job_class])
+}
+
+Duration parse_timeout(std::string_view text) {
+  // Digits only, although require_number() would also accept "1e9".
+  if (text.find_first_not_of("0123456789") != std::string_view::npos)
+    throw MessageError("bad X-Time-Left-Ms");
+  return Duration(require_number(text, 0, kMaximumTimeMs, "X-Time-Left-Ms"));
+}
+
+// wire: X-Weight-Hint, in microseconds
+Duration parse_cost_hint(std::string_view text) {
+  return Duration(require_number(text, 0, kMaximumTimeMs * 1000, "X-Weight-Hint") / 1000);
+}
+
+}  // namespace
+
+bool is_request_path(std::string_view target) {
+  std::string_view path = target.substr(0, target.find('?'));
+  return path == "/api" || path.starts_with("/api/");
+}
+
+ClientRequest parse_client_request(Message&& message, const IdentifierTables& tables) {
+  check_not_repeated(message.headers);
+  ClientRequest parsed;
+  scheduling::Request& request = parsed.request;
+  parsed.id = message.header("X-Correlation-Id");
+  request.id = parse_request_id(parsed.id);
+  std::optional<std::size_t> job_class =
+      index_of(tables.classes, message.header("X-Service-Class"));
+  if (!job_class || tables.dropped[*job_class])
     throw MessageError("unknown X-Service-Class");
-  c.request.job_class = *job_class;
-  auto tenant = index_of(words.tenants, m.header("X-Account"));
-  if (!words.tenants.empty() && !tenant)
+  request.job_class = *job_class;
+  std::optional<std::size_t> tenant = index_of(tables.tenants, message.header("X-Account"));
+  if (!tables.tenants.empty() && !tenant)
     throw MessageError("unknown X-Account");
-  c.request.tenant = tenant.value_or(0);
-  std::string_view left =
-      m.header("X-Time-Left-Ms");  // whole: "1e9" is a number elsewhere, but not here
-  if (left.find_first_not_of("0123456789") != std::string_view::npos)
-    throw MessageError("bad X-Time-Left-Ms");
-  c.request.timeout = Duration(need_number(left, 0, kMostMs, "X-Time-Left-Ms"));
-  if (m.has("X-Weight-Hint")) {
-    c.request.cost_hint =
-        Duration(need_number(m.header("X-Weight-Hint"), 0, kMostMs * 1000, "X-Weight-Hint") / 1000);
-  }
-  each_pair(m.header("X-Facts"), [&](std::string_view name, std::string_view value) {
+  request.tenant = tenant.value_or(0);
+  request.timeout = parse_timeout(message.header("X-Time-Left-Ms"));
+  if (message.has("X-Weight-Hint"))
+    request.cost_hint = parse_cost_hint(message.header("X-Weight-Hint"));
+  for_each_pair(message.header("X-Facts"), [&](std::string_view name, std::string_view value) {
     if (name == "slots")
-      c.request.slots = need_number(value, 0, 1e6, "slots");
+      request.slots = require_number(value, 0, 1e6, "slots");
     if (name == "memory")
-      c.request.memory = need_number(value, 0, 1e6, "memory");
+      request.memory = require_number(value, 0, 1e6, "memory");
   });
-  c.key = m.header("Idempotency-Key");
-  // Without its key no worker could tell a repeat, and the scheduler repeats keyed work.
-  if (words.keyed[*job_class] && c.key.empty())
+  parsed.key = message.header("Idempotency-Key");
+  // The scheduler retries such requests, and without a key no worker could recognize a retry.
+  if (tables.keyed[*job_class] && parsed.key.empty())
     throw MessageError("this class needs an Idempotency-Key");
-  c.target = std::move(m.target);
-  c.body = std::move(m.body);
-  return c;
+  parsed.target = std::move(message.target);
+  parsed.body = std::move(message.body);
+  return parsed;
 }
 
 // ---- Workers ----
 
 namespace {
 
-Headers submit_headers(const ClientRequest& c, const std::string& address, Duration time_left) {
-  auto left = static_cast<std::int64_t>(std::max(0.0, std::floor(time_left.count())));
-  Headers headers{
-      {"Host", address}, {"X-Correlation-Id", c.id}, {"X-Time-Left-Ms", std::to_string(left)}};
-  if (!c.key.empty())
-    headers.emplace_back("Idempotency-Key", c.key);
+Headers submit_headers(const ClientRequest& request, const std::string& address,
+                       Duration time_left) {
+  auto left_ms = static_cast<std::int64_t>(std::max(0.0, std::floor(time_left.count())));
+  Headers headers{{"Host", address},
+                  {"X-Correlation-Id", request.id},
+                  {"X-Time-Left-Ms", std::to_string(left_ms)}};
+  if (!request.key.empty())
+    headers.emplace_back("Idempotency-Key", request.key);
   return headers;
 }
 
 }  // namespace
 
-std::string write_submit(const ClientRequest& c, const std::string& address, Duration time_left) {
-  return write_request("POST", c.target, submit_headers(c, address, time_left), c.body);
+std::string write_submit(const ClientRequest& request, const std::string& address,
+                         Duration time_left) {
+  return write_request("POST", request.target, submit_headers(request, address, time_left),
+                       request.body);
 }
 
-std::string write_submit_head(const ClientRequest& c, const std::string& address,
+std::string write_submit_head(const ClientRequest& request, const std::string& address,
                               Duration time_left, std::optional<std::uint64_t> length) {
-  Headers headers = submit_headers(c, address, time_left);
-  headers.insert(headers.end(), c.fields.begin(), c.fields.end());
+  Headers headers = submit_headers(request, address, time_left);
+  headers.insert(headers.end(), request.fields.begin(), request.fields.end());
   if (length) {
     headers.emplace_back("Content-Length", std::to_string(*length));
   } else {
     headers.emplace_back("Transfer-Encoding", "chunked");
   }
-  return write_head("POST " + c.target + " HTTP/1.1", headers);
+  return write_head("POST " + request.target + " HTTP/1.1", headers);
 }
 
 Headers content_fields(const Headers& headers) {
-  Headers kept;
-  for (const auto& h : headers) {
-    if (h.first.size() > 8 && same_name(std::string_view(h.first).substr(0, 8), "Content-") &&
-        !same_name(h.first, "Content-Length"))
-      kept.push_back(h);
+  constexpr std::string_view kPrefix = "Content-";
+  Headers fields;
+  for (const auto& [name, value] : headers) {
+    bool has_prefix = name.size() > kPrefix.size() &&
+                      same_name(std::string_view(name).substr(0, kPrefix.size()), kPrefix);
+    if (has_prefix && !same_name(name, "Content-Length"))
+      fields.emplace_back(name, value);
   }
-  return kept;
+  return fields;
 }
 
 std::string write_cancellation(const std::string& id, const std::string& address) {
@@ -261,103 +290,135 @@
   return write_request("GET", with_report ? "/status/load" : "/health", {{"Host", address}}, {});
 }
 
-WorkerAnswer parse_submit_answer(const Message& m, const IdentifierTables& words, bool replies) {
-  WorkerAnswer a;
-  if (m.status == 202)
-    return a;
-  a.end = replies && m.status == 200 ? Outcome::Success
-          : never_ran(m)             ? Outcome::Rejected
-                                     : Outcome::Failure;
-  a.report = read_load_text(m.header("X-Backend-Load"), words);
-  return a;
+WorkerAnswer parse_submit_answer(const Message& message, const IdentifierTables& tables,
+                                 bool replies) {
+  WorkerAnswer answer;
+  if (message.status == 202)
+    return answer;
+  if (replies && message.status == 200) {
+    answer.end = Outcome::Success;
+  } else {
+    answer.end = is_rejection(message) ? Outcome::Rejected : Outcome::Failure;
+  }
+  answer.report = read_load_text(message.header("X-Backend-Load"), tables);
+  return answer;
 }
 
-WorkerAnswer parse_health_check_answer(const Message& m, const IdentifierTables& words) {
-  WorkerAnswer a;
-  a.end = m.status == 200   ? Outcome::Success
-          : m.status == 503 ? Outcome::Rejected
-                            : Outcome::Failure;
-  std::string_view header = m.header("X-Backend-Load");
+WorkerAnswer parse_health_check_answer(const Message& message, const IdentifierTables& tables) {
+  WorkerAnswer answer;
+  if (message.status == 200) {
+    answer.end = Outcome::Success;
+  } else {
+    answer.end = message.status == 503 ? Outcome::Rejected : Outcome::Failure;
+  }
+  std::string_view header = message.header("X-Backend-Load");
   if (!header.empty()) {
-    a.report = read_load_text(header, words);
-  } else if (m.body.starts_with('{')) {
+    answer.report = read_load_text(header, tables);
+  } else if (message.body.starts_with('{')) {
     try {
-      a.report = read_load_json(parse_json(m.body), words);
-    } catch (const MessageError&) {  // a probe that is answered still tells that the worker lives
+      answer.report = read_load_json(parse_json(message.body), tables);
+    } catch (const MessageError&) {
+      // An answer without a usable report still shows that the worker is up.
     }
   } else {
-    a.report = read_load_text(m.body, words);
+    answer.report = read_load_text(message.body, tables);
   }
-  return a;
+  return answer;
 }
 
-JobEvent parse_job_event(std::string_view body, const IdentifierTables& words) {
-  Json::Value v = parse_json(body);
-  JobEvent n;
-  n.id = parse_request_id(json_text(v, "id"));
-  n.from = json_text(v, "from");
-  std::string state = json_text(v, "state");
+namespace {
+
+// wire: state
+JobEvent::What parse_job_state(const std::string& state) {
   using What = JobEvent::What;
-  if (state == "started") {
-    n.what = What::Started;
-  } else if (state == "running") {
-    n.what = What::Progress;
-  } else if (state == "done") {
-    n.what = What::Done;
-    n.result = json_text(v, "result");
-  } else if (state == "failed") {
-    n.what = What::Failed;
-  } else if (state == "returned") {
-    n.what = What::Returned;
-  } else if (state == "lost") {
-    n.what = What::Lost;
-  } else {
-    throw MessageError("unknown state");
-  }
-  n.report = read_load_json(v["load"], words);
-  return n;
+  if (state == "started")
+    return What::Started;
+  if (state == "running")
+    return What::Progress;
+  if (state == "done")
+    return What::Done;
+  if (state == "failed")
+    return What::Failed;
+  if (state == "returned")
+    return What::Returned;
+  if (state == "lost")
+    return What::Lost;
+  throw MessageError("unknown state");
+}
+
+}  // namespace
+
+JobEvent parse_job_event(std::string_view body, const IdentifierTables& tables) {
+  Json::Value json = parse_json(body);
+  JobEvent event;
+  event.id = parse_request_id(json_text(json, "id"));
+  event.from = json_text(json, "from");
+  event.what = parse_job_state(json_text(json, "state"));
+  if (event.what == JobEvent::What::Done)
+    event.result = json_text(json, "result");
+  event.report = read_load_json(json["load"], tables);
+  return event;
 }
 
 // ---- The endpoint list ----
 
-EndpointUpdate parse_endpoint_update(const Json::Value& v, const IdentifierTables& words) {
-  if (!v.isObject() || !v["rev"].isInt64() || !v["all"].isBool() || !v["targets"].isArray())
+namespace {
+
+// wire: state. One that is not known here takes no new work.
+scheduling::Readiness parse_readiness(const std::string& state) {
+  if (state == "up")
+    return scheduling::Readiness::Ready;
+  return state == "removed" ? scheduling::Readiness::Removed : scheduling::Readiness::Draining;
+}
+
+std::string text_or_empty(const Json::Value& json, const char* name) {
+  return json[name].isString() ? json[name].asString() : std::string();
+}
+
+double number_or(const Json::Value& json, const char* name, double otherwise) {
+  return json[name].isNumeric() ? json[name].asDouble() : otherwise;
+}
+
+// -1: not in the settings.
+int index_or_none(const std::vector<std::string>& names, const std::string& name) {
+  std::optional<std::size_t> index = index_of(names, name);
+  return index ? static_cast<int>(*index) : -1;
+}
+
+// wire: uid, endpoint, state, az (zone), model (kind), pod_group (cell), capacity_hint (size),
+// boot_ms (online since)
+WorkerEndpoint parse_endpoint(const Json::Value& target, const IdentifierTables& tables) {
+  WorkerEndpoint endpoint;
+  endpoint.uid = json_text(target, "uid");
+  scheduling::WorkerEntry& entry = endpoint.entry;
+  entry.readiness = parse_readiness(json_text(target, "state"));
+  endpoint.address = text_or_empty(target, "endpoint");
+  bool needs_address = entry.readiness != scheduling::Readiness::Removed;
+  if (endpoint.uid.empty() || (endpoint.address.empty() && needs_address))
+    throw MessageError("an entry has no endpoint");
+  entry.zone = index_or_none(tables.zones, text_or_empty(target, "az"));
+  entry.kind = index_or_none(tables.kinds, text_or_empty(target, "model"));
+  entry.cell = static_cast<int>(std::clamp(number_or(target, "pod_group", 0), -1e9, 1e9));
+  entry.size = number_or(target, "capacity_hint", 1);
+  double boot_ms = number_or(target, "boot_ms", 0);
+  if (boot_ms > 0 && boot_ms < 1e15)
+    entry.online_since = scheduling::Time(Duration(boot_ms) + tables.wall_to_steady);
+  return endpoint;
+}
+
+}  // namespace
+
+// wire: rev, all, targets
+EndpointUpdate parse_endpoint_update(const Json::Value& list, const IdentifierTables& tables) {
+  if (!list.isObject() || !list["rev"].isInt64() || !list["all"].isBool() ||
+      !list["targets"].isArray())
     throw MessageError("a list needs rev, all and targets");
-  EndpointUpdate list;
-  list.revision = v["rev"].asInt64();
-  list.whole = v["all"].asBool();
-  for (const Json::Value& t : v["targets"]) {
-    WorkerEndpoint l;
-    l.uid = json_text(t, "uid");
-    std::string state = json_text(t, "state");
-    using scheduling::Readiness;
-    // A state not named here is one that takes no new work.
-    l.entry.readiness = state == "up"        ? Readiness::Ready
-                        : state == "removed" ? Readiness::Removed
-                                             : Readiness::Draining;
-    auto text = [&](const char* name) {
-      return t[name].isString() ? t[name].asString() : std::string();
-    };
-    auto number = [&](const char* name, double otherwise) {
-      return t[name].isNumeric() ? t[name].asDouble() : otherwise;
-    };
-    l.address = text("endpoint");
-    if (l.uid.empty() || (l.address.empty() && state != "removed"))
-      throw MessageError("an entry has no endpoint");
-    auto index = [&](const std::vector<std::string>& names, const char* name) {
-      auto i = index_of(names, text(name));
-      return i ? static_cast<int>(*i) : -1;
-    };
-    l.entry.zone = index(words.zones, "az");
-    l.entry.kind = index(words.kinds, "model");
-    l.entry.cell = static_cast<int>(std::clamp(number("pod_group", 0), -1e9, 1e9));
-    l.entry.size = number("capacity_hint", 1);
-    double boot = number("boot_ms", 0);
-    if (boot > 0 && boot < 1e15)
-      l.entry.online_since = scheduling::Time(Duration(boot) + words.wall_to_steady);
-    list.entries.push_back(std::move(l));
-  }
-  return list;
+  EndpointUpdate update;
+  update.revision = list["rev"].asInt64();
+  update.whole = list["all"].asBool();
+  for (const Json::Value& target : list["targets"])
+    update.entries.push_back(parse_endpoint(target, tables));
+  return update;
 }
 
 std::string write_watch(std::optional<std::int64_t> after, Duration wait,
--- a/src/streaming/memory_budget.cpp
+++ b/src/streaming/memory_budget.cpp
@@ -5,8 +5,8 @@
 namespace dispatcher::streaming {
 
 Budget::Budget(std::size_t ceiling, std::size_t window)
-    : total_(std::max<std::size_t>(1, ceiling / kChunk)),
-      window_(std::max<std::size_t>(1, window / kChunk)) {}
+    : total_(std::max<std::size_t>(1, ceiling / kChunkBytes)),
+      window_(std::max<std::size_t>(1, window / kChunkBytes)) {}
 
 void Budget::use(std::size_t chunks) {
   used_ += chunks;
@@ -14,7 +14,7 @@
 }
 
 std::optional<Budget::Lane> Budget::open() {
-  if (!spare(1))
+  if (!can_open(1))
     return std::nullopt;
   use(1);
   return Lane(*this);
@@ -25,23 +25,26 @@
     budget_->used_ -= std::max<std::size_t>(held_, 1);
 }
 
-// With h held and f free, one more is allowed while h stays under f. So the answer for several at
-// once is the largest k for which h + k - 1 < f - (k - 1): each one taken leaves one less free.
+// With h held and f free, one more is allowed while h is less than f. For several at once, the
+// answer is the largest k for which h + k - 1 < f - (k - 1): each one taken leaves one less free.
 std::size_t Budget::Lane::may_take() const {
-  std::size_t own = held_ == 0 ? 1 : 0;  // owned from the start
-  std::size_t held = held_ + own;
+  std::size_t first = held_ == 0 ? 1 : 0;  // owned since the lane was opened
+  std::size_t held = held_ + first;
   std::size_t free = budget_->total_ - std::min(budget_->total_, budget_->used_);
-  std::size_t beyond = free > held ? (free - held + 1) / 2 : 0;
-  return own + std::min(beyond, budget_->window_ - std::min(budget_->window_, held));
+  std::size_t shared = free > held ? (free - held + 1) / 2 : 0;
+  std::size_t left_of_window = budget_->window_ - std::min(budget_->window_, held);
+  return first + std::min(shared, left_of_window);
 }
 
 void Budget::Lane::take() {
-  if (held_++ > 0)
+  if (held_ > 0)
     budget_->use(1);
+  ++held_;
 }
 
 void Budget::Lane::give() {
-  if (--held_ > 0)
+  --held_;
+  if (held_ > 0)
     --budget_->used_;
 }
 
--- a/src/streaming/memory_budget.h
+++ b/src/streaming/memory_budget.h
@@ -1,12 +1,11 @@
-// The memory that bodies may hold on their way through, shared by all of them. Pure: no sockets, no
-// clock.
+// The memory that relayed bodies may hold, shared by all of them. No sockets, no clock.
 //
 // It is counted in chunks. A lane (one direction of one body) owns one chunk from its opening to
 // its end, so that whatever has begun can always go on: nothing waits for memory that another
 // holds, and there is no deadlock. Beyond that first chunk it may hold at most as much as is free
 // at the moment (a dynamic threshold, after Choudhury and Hahne's rule for shared buffers): n lanes
-// that take all they can get leave an n+1st part of what is shared free, so that a newcomer finds
-// some, and what one leaves unused the others may have.
+// that take all they can get leave an n+1st part of what is shared free, so that a new one finds
+// some, and the others may have what one leaves unused.
 #pragma once
 
 #include <cstddef>
@@ -15,16 +14,18 @@
 
 namespace dispatcher::streaming {
 
-constexpr std::size_t kChunk = 16 << 10;  // bytes
+constexpr std::size_t kChunkBytes = 16 << 10;
 
+// Not thread-safe. Outlives its lanes.
 class Budget {
  public:
-  // `ceiling`: bytes of all lanes; `window`: the most bytes of one. Each is at least one chunk.
+  // `ceiling`: bytes of all lanes; `window`: maximum bytes of one. Each is at least one chunk.
   Budget(std::size_t ceiling, std::size_t window);
   Budget(const Budget&) = delete;
   Budget& operator=(const Budget&) = delete;
 
-  class Lane {  // returns what it holds when it goes
+  // Returns what it holds when it is destroyed. All counts are in chunks.
+  class Lane {
    public:
     Lane(Lane&& other) noexcept
         : budget_(std::exchange(other.budget_, nullptr)), held_(std::exchange(other.held_, 0)) {}
@@ -34,11 +35,14 @@
       return *this;
     }
     ~Lane();
-    std::size_t held() const { return held_; }  // chunks
-    std::size_t may_take() const;               // chunks, beyond those held
-    void
-    take();  // one; also past may_take(), for what has been read already: the caller bounds that
-    void give();  // one of those held
+    std::size_t held() const { return held_; }
+    // How many more it may take now.
+    std::size_t may_take() const;
+    // Takes one. Also allowed beyond may_take(), for bytes that have been read already: the caller
+    // bounds those.
+    void take();
+    // Gives one back.
+    void give();
 
    private:
     friend class Budget;
@@ -47,13 +51,14 @@
     std::size_t held_ = 0;
   };
 
-  // Nothing: not one chunk is left. The newcomer must be refused.
+  // Nothing: not one chunk is left, and the body must be rejected.
   std::optional<Lane> open();
-  // Whether `lanes` could be opened now.
-  bool spare(std::size_t lanes) const { return used_ + lanes <= total_; }
+  // Whether so many lanes could be opened now.
+  bool can_open(std::size_t lanes) const { return used_ + lanes <= total_; }
 
-  std::size_t used() const { return used_; }    // chunks, those owned and not yet filled among them
-  std::size_t total() const { return total_; }  // chunks
+  // Chunks, including those owned by lanes and not filled yet.
+  std::size_t used() const { return used_; }
+  std::size_t total() const { return total_; }
   std::size_t most_used() const { return most_used_; }
 
  private:
--- a/src/streaming/pipe.cpp
+++ b/src/streaming/pipe.cpp
@@ -6,120 +6,131 @@
 namespace dispatcher::streaming {
 
 Pipe::Pipe(Budget::Lane lane, std::size_t replay_bytes)
-    : lane_(std::move(lane)), replay_bytes_(replay_bytes), let_go_(replay_bytes == 0) {}
+    : lane_(std::move(lane)), replay_bytes_(replay_bytes), keeps_written_(replay_bytes > 0) {}
 
-// A copy: what is called may set another one, or none.
-void Pipe::tell(const std::function<void()>& call) {
-  if (auto copy = call)
+// Calls a copy: the callback may replace itself.
+void Pipe::notify(const std::function<void()>& callback) {
+  if (auto copy = callback)
     copy();
 }
 
-std::size_t Pipe::room() {
+std::size_t Pipe::free_bytes() const {
+  auto used = static_cast<std::size_t>(appended_ - first_offset_);
+  std::size_t free_in_last_chunk = chunks_.size() * kChunkBytes - used;
+  return free_in_last_chunk + lane_.may_take() * kChunkBytes;
+}
+
+std::size_t Pipe::capacity() {
   if (abandoned_ || end_ != End::Open)
     return 0;
-  auto free = [this] {
-    std::size_t tail = chunks_.size() * kChunk - static_cast<std::size_t>(appended_ - base_);
-    return tail + lane_.may_take() * kChunk;
-  };
-  // Guards against a deadlock: where the kept bytes fill all the memory there is, going on is worth
-  // more than the chance to begin again.
-  if (free() == 0 && !let_go_ && written_ == appended_)
-    let_go();
-  return free();
+  // Avoids a deadlock where the bytes kept for a replay fill all the memory.
+  if (free_bytes() == 0 && keeps_written_ && written_ == appended_)
+    stop_keeping();
+  return free_bytes();
 }
 
 void Pipe::append(std::string_view bytes) {
   if (abandoned_ || end_ != End::Open)
     return;
   while (!bytes.empty()) {
-    std::size_t at = static_cast<std::size_t>(appended_ - base_) -
-                     (chunks_.empty() ? 0 : (chunks_.size() - 1) * kChunk);
-    if (chunks_.empty() || at == kChunk) {
+    std::size_t full_chunks = chunks_.empty() ? 0 : chunks_.size() - 1;
+    std::size_t position =
+        static_cast<std::size_t>(appended_ - first_offset_) - full_chunks * kChunkBytes;
+    if (chunks_.empty() || position == kChunkBytes) {
       lane_.take();
       chunks_.push_back(std::make_shared<Chunk>());
-      at = 0;
+      position = 0;
     }
-    std::size_t n = std::min(bytes.size(), kChunk - at);
-    std::memcpy(chunks_.back()->bytes + at, bytes.data(), n);
-    appended_ += n;
-    bytes.remove_prefix(n);
+    std::size_t count = std::min(bytes.size(), kChunkBytes - position);
+    std::memcpy(chunks_.back()->data() + position, bytes.data(), count);
+    appended_ += count;
+    bytes.remove_prefix(count);
   }
-  if (!let_go_ && appended_ > replay_bytes_)
-    let_go();
-  tell(on_data);
+  if (keeps_written_ && appended_ > replay_bytes_)
+    stop_keeping();
+  notify(on_data);
 }
 
 void Pipe::finish() {
   if (end_ != End::Open)
     return;
-  end_ = End::Whole;
-  tell(on_data);
+  end_ = End::Complete;
+  notify(on_data);
 }
 
-void Pipe::break_off() {
+void Pipe::abort() {
   if (end_ != End::Open)
     return;
-  end_ = End::Broken;
-  let_go_ = true;
-  written_ = taken_ = appended_;
-  free_written();
-  tell(on_data);
+  end_ = End::Aborted;
+  discard_all();
+  notify(on_data);
+}
+
+void Pipe::abandon() {
+  if (abandoned_)
+    return;
+  abandoned_ = true;
+  discard_all();
+  notify(on_capacity);
 }
 
-transport::Slice Pipe::next(std::size_t most) {
-  if (abandoned_ || broken() || taken_ == appended_)
+void Pipe::discard_all() {
+  taken_ = appended_;
+  written_ = appended_;
+  stop_keeping();
+}
+
+transport::Slice Pipe::take(std::size_t maximum) {
+  if (abandoned_ || aborted() || taken_ == appended_)
     return {};
-  std::size_t from = static_cast<std::size_t>(taken_ - base_);
-  const std::shared_ptr<Chunk>& chunk = chunks_[from / kChunk];
-  std::size_t at = from % kChunk;
-  std::size_t n = std::min({most, kChunk - at, static_cast<std::size_t>(appended_ - taken_)});
-  taken_ += n;
-  return {chunk, std::string_view(chunk->bytes + at, n)};
+  auto from = static_cast<std::size_t>(taken_ - first_offset_);
+  const std::shared_ptr<Chunk>& chunk = chunks_[from / kChunkBytes];
+  std::size_t position = from % kChunkBytes;
+  auto available = static_cast<std::size_t>(appended_ - taken_);
+  std::size_t count = std::min({maximum, kChunkBytes - position, available});
+  taken_ += count;
+  return {chunk, std::string_view(chunk->data() + position, count)};
 }
 
-void Pipe::written(std::uint64_t all) {
-  if (abandoned_ || all <= written_)
+void Pipe::mark_written(std::uint64_t total) {
+  if (abandoned_ || total <= written_)
     return;
-  written_ = std::min(all, taken_);
-  free_written();
-  tell(on_room);
+  written_ = std::min(total, taken_);
+  release_written();
+  notify(on_capacity);
 }
 
-void Pipe::begin() {
-  wanted_ = true;
-  tell(on_room);
+void Pipe::start() {
+  started_ = true;
+  notify(on_capacity);
 }
 
 bool Pipe::rewind() {
   if (!replayable())
     return false;
-  taken_ = written_ = 0;
+  taken_ = 0;
+  written_ = 0;
   return true;
 }
 
-void Pipe::abandon() {
-  if (std::exchange(abandoned_, true))
-    return;
-  let_go_ = true;
-  written_ = taken_ = appended_;
-  free_written();
-  tell(on_room);
-}
-
-void Pipe::let_go() {
-  let_go_ = true;
-  free_written();
+void Pipe::stop_keeping() {
+  keeps_written_ = false;
+  release_written();
 }
 
-// The last chunk stays while more may come into it: its free part is the source's room.
-void Pipe::free_written() {
-  if (!let_go_)
+// The last chunk is kept while more may be appended to it.
+void Pipe::release_written() {
+  if (keeps_written_)
     return;
-  bool over = end_ != End::Open || abandoned_;
-  while (!chunks_.empty() && (base_ + kChunk <= written_ || (over && written_ == appended_))) {
+  bool ended = end_ != End::Open || abandoned_;
+  while (!chunks_.empty()) {
+    bool chunk_written = first_offset_ + kChunkBytes <= written_;
+    bool all_written = ended && written_ == appended_;
+    if (!chunk_written && !all_written)
+      return;
     chunks_.pop_front();
     lane_.give();
-    base_ += kChunk;
+    first_offset_ += kChunkBytes;
   }
 }
 
--- a/src/streaming/pipe.h
+++ b/src/streaming/pipe.h
@@ -1,12 +1,12 @@
-// One direction of one body: its source appends what has come, its sink takes it as it can be
-// passed on. Pure: no sockets, no clock; the two sides tell each other through calls that each may
-// set.
+// One direction of one relayed body: a source appends what has arrived, a sink takes it as it can
+// be sent. No sockets, no clock; the two sides notify each other through callbacks.
 //
-// The first bytes may be kept after they have gone out, so that the sink can begin again with
-// another receiver. They are let go once the body is longer than `replay_bytes`, or when there is
+// The first bytes may be kept after they were written, so that the sink can begin again with
+// another receiver. They are released once the body is longer than `replay_bytes`, or when there is
 // no other memory to go on with; from then on the body cannot be sent a second time.
 #pragma once
 
+#include <array>
 #include <cstdint>
 #include <deque>
 #include <functional>
@@ -18,60 +18,71 @@
 
 namespace dispatcher::streaming {
 
+// Not thread-safe. A callback may end the source or the sink, and may set another callback.
 class Pipe {
  public:
   explicit Pipe(Budget::Lane lane, std::size_t replay_bytes = 0);
 
   // ---- Source ----
-  std::size_t room();                   // how many bytes append() should bring at most, for now
-  void append(std::string_view bytes);  // more than room() is taken too: the source has it anyhow
-  void finish();                        // the body is whole
-  void break_off();                     // it will never be: what waits here is not passed on
+  // How many bytes append() should bring at most, for now.
+  std::size_t capacity();
+  // More than capacity() is accepted too, as the source has it in memory anyhow.
+  void append(std::string_view bytes);
+  // The body is complete.
+  void finish();
+  // The body will never be complete: what waits here is discarded.
+  void abort();
 
   // ---- Sink ----
-  // What comes next, at most `most` bytes of it; empty: nothing for now. The slice stays good until
-  // its bytes are told as written, at least.
-  transport::Slice next(std::size_t most);
-  void written(std::uint64_t all);  // bytes taken by next() that have gone out by now, in all
-  void begin();                     // a receiver is there; a source that waits for that goes on
-  bool rewind();                    // begin again from the first byte; false: it has been let go
-  void abandon();                   // nobody takes any more: what comes from now on is thrown away
+  // The next bytes, at most `maximum`; empty: none for now. The slice is valid at least until its
+  // bytes are marked as written.
+  transport::Slice take(std::size_t maximum);
+  // Of the bytes returned by take(), so many have been written by now, in all.
+  void mark_written(std::uint64_t total);
+  // There is a receiver; a source that waits for one goes on.
+  void start();
+  // Begins again with the first byte; false: it has been released.
+  bool rewind();
+  // There is no receiver any more: what arrives from now on is discarded.
+  void abandon();
 
-  bool wanted() const { return wanted_; }
-  bool whole() const { return end_ == End::Whole; }
-  bool broken() const { return end_ == End::Broken; }
+  bool started() const { return started_; }
+  bool complete() const { return end_ == End::Complete; }
+  bool aborted() const { return end_ == End::Aborted; }
   bool abandoned() const { return abandoned_; }
-  bool taken_all() const { return whole() && taken_ == appended_; }
-  // Nothing of it is gone: it can be sent to another receiver from its first byte.
-  bool replayable() const { return base_ == 0 && !broken() && !abandoned_; }
-  std::uint64_t appended() const { return appended_; }  // bytes
-  std::uint64_t taken() const { return taken_; }
-  std::size_t held() const { return chunks_.size() * kChunk; }  // bytes of memory
+  bool taken_all() const { return complete() && taken_ == appended_; }
+  // The body can still be sent to another receiver from its first byte.
+  bool replayable() const { return first_offset_ == 0 && !aborted() && !abandoned_; }
+  std::uint64_t appended_bytes() const { return appended_; }
+  std::uint64_t taken_bytes() const { return taken_; }
+  // Memory in use.
+  std::size_t held_bytes() const { return chunks_.size() * kChunkBytes; }
 
-  // Set by the source: there is room again, the sink has begun, or nobody wants the rest.
-  std::function<void()> on_room;
-  // Set by the sink: more has come, or the end.
+  // Set by the source: there is capacity again, the sink has started, or it has abandoned the body.
+  std::function<void()> on_capacity;
+  // Set by the sink: more has arrived, or the end.
   std::function<void()> on_data;
 
  private:
-  enum class End { Open, Whole, Broken };
-  struct Chunk {
-    char bytes[kChunk];
-  };
+  enum class End { Open, Complete, Aborted };
+  using Chunk = std::array<char, kChunkBytes>;
 
-  void let_go();
-  void free_written();
-  void tell(const std::function<void()>& call);
+  std::size_t free_bytes() const;
+  void discard_all();
+  void stop_keeping();
+  void release_written();
+  static void notify(const std::function<void()>& callback);
 
   Budget::Lane lane_;
   std::size_t replay_bytes_;
   std::deque<std::shared_ptr<Chunk>> chunks_;
-  std::uint64_t base_ = 0;  // of the first chunk's first byte; a multiple of kChunk
+  // Offsets in the body, bytes.
+  std::uint64_t first_offset_ = 0;  // of the first chunk; a multiple of kChunkBytes
   std::uint64_t appended_ = 0;
   std::uint64_t taken_ = 0;
   std::uint64_t written_ = 0;
-  bool wanted_ = false;
-  bool let_go_ = false;
+  bool started_ = false;
+  bool keeps_written_ = false;  // for a replay
   bool abandoned_ = false;
   End end_ = End::Open;
 };
--- a/src/transport/deadlines.cpp
+++ b/src/transport/deadlines.cpp
@@ -3,36 +3,36 @@
 namespace dispatcher::transport {
 
 Deadlines::Handle Deadlines::add(Time at, std::function<void()> fire) {
-  due_.emplace(std::pair(at, ++order_), std::move(fire));
-  return {at, order_};
+  ++last_order_;
+  pending_.emplace(std::pair(at, last_order_), std::move(fire));
+  return {.at = at, .order = last_order_};
 }
 
 void Deadlines::drop(Handle& handle) {
-  if (handle.order != 0)
-    due_.erase({handle.at, handle.order});
+  if (handle.is_set())
+    pending_.erase({handle.at, handle.order});
   handle = {};
 }
 
 void Deadlines::sweep(Time now) {
-  // What a deadline adds at this same moment must not keep the sweep going for ever: sockets wait
-  // meanwhile.
-  std::uint64_t last = order_;
-  for (auto it = due_.begin(); it != due_.end() && it->first.first <= now;) {
-    if (it->first.second > last) {
+  // Deadlines added during the sweep wait, so that they cannot keep the loop from its sockets.
+  const std::uint64_t last_order = last_order_;
+  for (auto it = pending_.begin(); it != pending_.end() && it->first.first <= now;) {
+    if (it->first.second > last_order) {
       ++it;
       continue;
     }
-    auto fire = std::move(it->second);
-    due_.erase(it);
+    std::function<void()> fire = std::move(it->second);
+    pending_.erase(it);
     fire();
-    it = due_.begin();  // the call may have added or dropped any of them
+    it = pending_.begin();  // the call may have added or dropped any of them
   }
 }
 
 std::optional<Time> Deadlines::next() const {
-  if (due_.empty())
+  if (pending_.empty())
     return std::nullopt;
-  return due_.begin()->first.first;
+  return pending_.begin()->first.first;
 }
 
 }  // namespace dispatcher::transport
--- a/src/transport/descriptor.h
+++ b/src/transport/descriptor.h
@@ -1,4 +1,4 @@
-// A descriptor that is closed with its owner.
+// An owner for file descriptors.
 #pragma once
 
 #include <fcntl.h>
@@ -8,32 +8,37 @@
 
 namespace dispatcher::transport {
 
+// Closes its descriptor when it is destroyed.
 class Descriptor {
  public:
   Descriptor() = default;
-  explicit Descriptor(int fd) : fd_(fd) {}
-  Descriptor(Descriptor&& other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
+  explicit Descriptor(int descriptor) : descriptor_(descriptor) {}
+  Descriptor(Descriptor&& other) noexcept : descriptor_(other.release()) {}
   Descriptor& operator=(Descriptor&& other) noexcept {
     if (this != &other) {
       reset();
-      fd_ = std::exchange(other.fd_, -1);
+      descriptor_ = other.release();
     }
     return *this;
   }
   ~Descriptor() { reset(); }
 
-  static Descriptor copy_of(int fd) { return Descriptor(::fcntl(fd, F_DUPFD_CLOEXEC, 0)); }
-  explicit operator bool() const { return fd_ >= 0; }
-  int get() const { return fd_; }
-  int release() { return std::exchange(fd_, -1); }
+  // A duplicate with close-on-exec; empty where none is available.
+  static Descriptor copy_of(int descriptor) {
+    return Descriptor(::fcntl(descriptor, F_DUPFD_CLOEXEC, 0));
+  }
+  explicit operator bool() const { return descriptor_ >= 0; }
+  int get() const { return descriptor_; }
+  // Gives up ownership.
+  int release() { return std::exchange(descriptor_, -1); }
 
  private:
   void reset() {
-    if (fd_ >= 0)
-      ::close(fd_);
-    fd_ = -1;
+    if (descriptor_ >= 0)
+      ::close(descriptor_);
+    descriptor_ = -1;
   }
-  int fd_ = -1;
+  int descriptor_ = -1;
 };
 
 }  // namespace dispatcher::transport
--- a/src/transport/gio_network.cpp
+++ b/src/transport/gio_network.cpp
@@ -1,50 +1,46 @@
 #include "transport/gio_network.h"
 
 #include <glib-unix.h>
-#include <netinet/in.h>
-#include <netinet/tcp.h>
 #include <sys/socket.h>
-#include <unistd.h>
 
 #include <algorithm>
-#include <array>
 #include <stdexcept>
 
 #include "transport/address.h"
+#include "transport/gio_sockets.h"
 
 namespace dispatcher::transport {
 namespace {
 
-// A peer that is this far behind has stopped reading. The longest answer and the rest of another
-// fit in.
-constexpr std::size_t kMostUnsent = 160 << 10;
-constexpr Duration kLinger{
-    2000};  // for the peer to take what is left and to close its side after ours
-constexpr Duration kAcceptPause{
-    20};  // after running out of descriptors, or where nothing can be spared
-constexpr int kAcceptsATurn = 64;  // then the other sockets are looked at first
-constexpr int kBacklog = 1024;
-constexpr std::size_t kReadAtOnce = 16 << 10, kReadATurn = 64 << 10;  // of one connection
-// Of all bulk connections together in one turn: some tenths of a millisecond, which is what an
-// ordinary message may have to wait for them.
-constexpr std::size_t kBulkATurn = 256 << 10;
-constexpr std::size_t kReadyAtOnce = 4096;  // the kernel hands out the others first the next time
-constexpr std::uint32_t kReset =
-    EPOLLERR;  // comes unasked; names what is waited for where nothing else is
-// Guards the watch on discovery, which goes down just when connections to workers pile up.
-constexpr std::size_t kForWatch = 1;
-constexpr std::size_t kPartsAtOnce = 64;  // slices in one gathered write
+// How long the peer has, after finish(), to read what is left and to close its side.
+constexpr Duration kLingerTimeout{2000};
+// For all bulk connections together: an ordinary message may wait so long for them.
+constexpr std::size_t kBulkBytesPerTurn = 256 << 10;
+constexpr std::size_t kReadBufferBytes = 64 << 10;
+// Events of one turn; the kernel returns the other connections first in the next one.
+constexpr std::size_t kEventsPerTurn = 4096;
+// Reported by epoll without being asked for; keeps a connection watched that waits for nothing.
+constexpr std::uint32_t kResetOnly = EPOLLERR;
+// Kept for the watch on discovery, which may fail just when connections to workers pile up.
+constexpr std::size_t kHighUrgencyReserve = 1;
 
-ObjectPtr<GSocket> new_socket(GSocketAddress* address, Error& error) {
-  ObjectPtr<GSocket> s(g_socket_new(g_socket_address_get_family(address), G_SOCKET_TYPE_STREAM,
-                                    G_SOCKET_PROTOCOL_TCP, error.out()));
-  if (s)
-    g_socket_set_blocking(s.get(), FALSE);
-  return s;
+// Connections of one turn are served in this order. Fits into two bits of the epoll label.
+enum class ServiceOrder : std::uint64_t { HighUrgency = 0, Ordinary = 1, Finishing = 2 };
+constexpr std::uint64_t kOrderMask = 3;
+
+ServiceOrder service_order(const GioConnection& connection) {
+  if (connection.urgency == Urgency::High)
+    return ServiceOrder::HighUrgency;
+  return connection.is_finishing() ? ServiceOrder::Finishing : ServiceOrder::Ordinary;
+}
+
+std::uint64_t make_label(SlotRef ref, ServiceOrder order) {
+  return std::uint64_t{ref.generation} << 32 | std::uint64_t{ref.slot} << 2 |
+         static_cast<std::uint64_t>(order);
 }
 
-void no_delay(GSocket* s) {
-  g_socket_set_option(s, IPPROTO_TCP, TCP_NODELAY, 1, nullptr);
+SlotRef slot_of(std::uint64_t label) {
+  return {static_cast<std::uint32_t>(label) >> 2, static_cast<std::uint32_t>(label >> 32)};
 }
 
 }  // namespace
@@ -56,472 +52,199 @@
       clock_(clock),
       limits_(limits),
       complain_(std::move(complain)),
-      table_(limits.accepted + limits.connected + kForWatch),
-      scratch_(kReadATurn),
-      poll_(epoll_create1(EPOLL_CLOEXEC)),
-      ready_(kReadyAtOnce) {
-  if (poll_ < 0)
+      table_(limits.accepted + limits.connected + kHighUrgencyReserve),
+      read_buffer_(kReadBufferBytes),
+      epoll_(epoll_create1(EPOLL_CLOEXEC)),
+      ready_events_(kEventsPerTurn) {
+  if (!epoll_)
     throw std::runtime_error("no descriptor to watch connections with");
-  polled_.reset(g_unix_fd_source_new(poll_, G_IO_IN));
-  g_source_set_callback(polled_.get(), G_SOURCE_FUNC(&GioNetwork::ready), this, nullptr);
-  g_source_attach(polled_.get(), context_);
+  epoll_source_.reset(g_unix_fd_source_new(epoll_.get(), G_IO_IN));
+  g_source_set_callback(epoll_source_.get(), G_SOURCE_FUNC(&GioNetwork::on_epoll_ready), this,
+                        nullptr);
+  g_source_attach(epoll_source_.get(), context_);
 }
 
 GioNetwork::~GioNetwork() {
   for (SlotRef ref : table_.refs())
     remove(ref);
-  deadlines_.drop(accept_again_);
-  polled_.reset();
-  ::close(poll_);
-}
-
-void GioNetwork::listen(const std::string& address, Acceptor& acceptor, bool shared) {
-  auto where = parse_address(address);
-  if (!where)
-    throw std::runtime_error("not an address to listen on: " + address);
-  Error error;
-  listener_ = new_socket(where.get(), error);
-  if (!listener_)
-    throw std::runtime_error(std::string("no socket: ") + error.text());
-  g_socket_set_listen_backlog(listener_.get(), kBacklog);
-  // So that a second process of this dispatcher can serve beside this one where the socket itself
-  // cannot be passed.
-  if (shared)
-    g_socket_set_option(listener_.get(), SOL_SOCKET, SO_REUSEPORT, 1, nullptr);
-  if (!g_socket_bind(listener_.get(), where.get(), TRUE, error.out()) ||
-      !g_socket_listen(listener_.get(), error.out()))
-    throw std::runtime_error("cannot listen on " + address + ": " + error.text());
-  acceptor_ = &acceptor;
-  accept_from_now_on(true);
-}
-
-void GioNetwork::share_listener(Descriptor listening, Acceptor& acceptor) {
-  Error error;
-  listener_.reset(g_socket_new_from_fd(listening.get(), error.out()));
-  if (!listener_)
-    throw std::runtime_error(std::string("not a socket to listen on: ") + error.text());
-  listening.release();
-  g_socket_set_blocking(listener_.get(), FALSE);
-  acceptor_ = &acceptor;
-}
-
-Descriptor GioNetwork::listener() const {
-  return listener_ ? Descriptor::copy_of(g_socket_get_fd(listener_.get())) : Descriptor();
-}
-
-void GioNetwork::accept_from_now_on(bool on) {
-  takes_ = on;
-  if (on)
-    return resume_accepting();
-  deadlines_.drop(accept_again_);
-  accepts_.reset();
-}
-
-void GioNetwork::limit(Limits limits) {
-  limits_ = limits;
-  if (!accepts_)
-    resume_accepting();
-}
-
-void GioNetwork::resume_accepting() {
-  deadlines_.drop(accept_again_);
-  if (accepts_ || !listener_ || !takes_)
-    return;
-  accepts_.reset(g_socket_create_source(listener_.get(), G_IO_IN, nullptr));
-  g_source_set_callback(accepts_.get(), G_SOURCE_FUNC(&GioNetwork::incoming), this, nullptr);
-  g_source_attach(accepts_.get(), context_);
-}
-
-void GioNetwork::pause_accepting() {
-  accepts_.reset();
-  accept_again_ = deadlines_.add(clock_.now() + kAcceptPause, [this] { resume_accepting(); });
-}
-
-gboolean GioNetwork::incoming(GSocket*, GIOCondition, gpointer data) {
-  static_cast<GioNetwork*>(data)->accept_all();
-  return G_SOURCE_CONTINUE;
-}
-
-void GioNetwork::accept_all() {
-  for (int i = 0; i < kAcceptsATurn && takes_; ++i) {
-    // Guards the descriptors kept for workers and discovery: a crowd of clients sheds its own
-    // idle ones first, and where all are at work the next wait in the listen queue until one closes
-    // or is idle again.
-    if (accepted_ >= limits_.accepted) {
-      // Only for a newcomer that is really there: a full table alone is no reason to close
-      // anything.
-      if ((g_socket_condition_check(listener_.get(), G_IO_IN) & G_IO_IN) == 0)
-        return;
-      if (!make_room())
-        return pause_accepting();
-    }
-    Error error;
-    ObjectPtr<GSocket> socket(g_socket_accept(listener_.get(), nullptr, error.out()));
-    if (!socket) {
-      if (error.is(G_IO_ERROR_WOULD_BLOCK))
-        return;
-      if (error.is(G_IO_ERROR_CONNECTION_CLOSED))
-        continue;  // gone before it was taken
-      // Guards against EMFILE: the listener stays readable then, and a loop that tries again at
-      // once eats the core.
-      complain_(std::string("cannot accept: ") + error.text());
-      make_room();
-      return pause_accepting();
-    }
-    std::optional<SlotRef> ref = keep_accepted(std::move(socket));
-    if (!ref)
-      return pause_accepting();
-    acceptor_->on_accepted(*ref);
-    // A client sends as soon as it has connected: its command is read before the next
-    // newcomer could take this connection for a silent one and have it closed.
-    on_readable(*ref, kReadATurn);
-  }
-}
-
-std::optional<SlotRef> GioNetwork::keep_accepted(ObjectPtr<GSocket> socket) {
-  g_socket_set_blocking(socket.get(), FALSE);
-  no_delay(socket.get());
-  Connection c;
-  c.socket = std::move(socket);
-  c.handler = acceptor_;
-  c.accepted = true;
-  std::optional<SlotRef> ref = table_.insert(std::move(c));
-  if (!ref)
-    return std::nullopt;
-  ++accepted_;
-  watch(*ref, *table_.find(*ref));
-  return ref;
-}
-
-std::optional<SlotRef> GioNetwork::adopt(Descriptor connection) {
-  Error error;
-  ObjectPtr<GSocket> socket(g_socket_new_from_fd(connection.get(), error.out()));
-  if (!socket)
-    return std::nullopt;
-  connection.release();
-  return keep_accepted(std::move(socket));
-}
-
-Descriptor GioNetwork::release(SlotRef ref) {
-  Connection* c = table_.find(ref);
-  if (!c || c->state != State::Open || c->broken || !c->unsent.empty())
-    return {};
-  Descriptor copy = Descriptor::copy_of(g_socket_get_fd(c->socket.get()));
-  if (!copy)
-    return {};
-  c->broken = true;  // the kernel watches what a descriptor stands for, and that stays open
-  watch(ref, *c);
-  remove(ref);
-  return copy;
-}
-
-// Those that have their last answer go first, then what the acceptor can spare.
-bool GioNetwork::make_room() {
-  auto done = std::ranges::find_if(
-      finishing_, [this](SlotRef ref) { return table_.find(ref)->state == State::Lingering; });
-  if (done == finishing_.end())
-    return acceptor_ && acceptor_->shed_idle();
-  remove(*done);
-  return true;
+  deadlines_.drop(resume_accepting_);
 }
 
 std::optional<SlotRef> GioNetwork::connect(const std::string& address, ConnectionHandler& handler,
                                            Urgency urgency) {
-  auto where = parse_address(address);
-  if (!where || connected_ >= limits_.connected + (urgency == Urgency::High ? kForWatch : 0))
+  ObjectPtr<GSocketAddress> socket_address = parse_address(address);
+  std::size_t reserve = urgency == Urgency::High ? kHighUrgencyReserve : 0;
+  if (!socket_address || connected_count_ >= limits_.connected + reserve)
     return std::nullopt;
   Error error;
-  Connection c;
-  c.socket = new_socket(where.get(), error);
-  if (!c.socket) {  // EMFILE
+  Connection connection;
+  connection.socket = new_tcp_socket(socket_address.get(), error);
+  if (!connection.socket) {
     complain_(std::string("cannot open a socket: ") + error.text());
     make_room();
     return std::nullopt;
   }
-  no_delay(c.socket.get());
-  c.handler = &handler;
-  c.state = State::Connecting;
-  if (urgency == Urgency::High)
-    c.high = true;
-  bool up = g_socket_connect(c.socket.get(), where.get(), nullptr, error.out());
-  bool failed = !up && !error.is(G_IO_ERROR_PENDING);
-  std::optional<SlotRef> ref = table_.insert(std::move(c));
+  set_no_delay(connection.socket.get());
+  connection.handler = &handler;
+  connection.state = State::Connecting;
+  connection.urgency = urgency;
+  bool connected =
+      g_socket_connect(connection.socket.get(), socket_address.get(), nullptr, error.out());
+  bool failed = !connected && !error.is(G_IO_ERROR_PENDING);
+  std::optional<SlotRef> ref = table_.insert(std::move(connection));
   if (!ref)
     return std::nullopt;
-  ++connected_;
-  Connection& kept = *table_.find(*ref);
-  // A refusal on the spot is told in the next turn: a handler is never called from inside its own
-  // call.
+  ++connected_count_;
+  Connection& inserted = *table_.find(*ref);
   if (failed) {
-    kept.end = deadlines_.add(clock_.now(), [this, r = *ref] { broken(r); });
+    inserted.end = deadlines_.add(clock_.now(), [this, opened = *ref] { report_closed(opened); });
   } else {
-    watch(*ref, kept);
+    watch(*ref, inserted);
   }
   return ref;
 }
 
-// What is asked for follows from the connection's state alone, and the kernel is told only of
-// changes. A reset shows always, also where nothing is asked for.
-void GioNetwork::watch(SlotRef ref, Connection& c) {
-  std::uint32_t wanted = c.broken ? 0
-                         : c.state == State::Connecting
-                             ? EPOLLOUT
-                             : kReset | (c.held ? 0u : EPOLLIN) |
-                                   (c.unsent.empty() ? 0u : EPOLLOUT) |
-                                   (c.held && c.ends_unread ? EPOLLRDHUP : 0u);
-  bool farewell = c.state == State::Flushing || c.state == State::Lingering;
-  std::uint64_t order = c.high ? 0 : farewell ? 2 : 1;
-  std::uint64_t label = std::uint64_t{ref.generation} << 32 | std::uint64_t{ref.slot} << 2 | order;
-  if (wanted == c.interest && (label == c.label || wanted == 0))
+std::uint32_t GioNetwork::events_to_watch(const Connection& connection) {
+  if (connection.failed)
+    return 0;
+  if (connection.state == State::Connecting)
+    return EPOLLOUT;
+  std::uint32_t events = kResetOnly;
+  if (!connection.reading_paused)
+    events |= EPOLLIN;
+  if (!connection.unsent.empty())
+    events |= EPOLLOUT;
+  if (connection.reading_paused && connection.reports_end_while_paused)
+    events |= EPOLLRDHUP;
+  return events;
+}
+
+void GioNetwork::watch(SlotRef ref, Connection& connection) {
+  std::uint32_t wanted = events_to_watch(connection);
+  std::uint64_t label = make_label(ref, service_order(connection));
+  if (wanted == connection.watched_events && (label == connection.epoll_label || wanted == 0))
     return;
   epoll_event event{wanted, {.u64 = label}};
-  int what = wanted == 0 ? EPOLL_CTL_DEL : c.interest == 0 ? EPOLL_CTL_ADD : EPOLL_CTL_MOD;
-  epoll_ctl(poll_, what, g_socket_get_fd(c.socket.get()), &event);
-  c.interest = wanted;
-  c.label = label;
+  int operation = EPOLL_CTL_MOD;
+  if (wanted == 0) {
+    operation = EPOLL_CTL_DEL;
+  } else if (connection.watched_events == 0) {
+    operation = EPOLL_CTL_ADD;
+  }
+  epoll_ctl(epoll_.get(), operation, g_socket_get_fd(connection.socket.get()), &event);
+  connection.watched_events = wanted;
+  connection.epoll_label = label;
 }
 
-gboolean GioNetwork::ready(gint, GIOCondition, gpointer data) {
+gboolean GioNetwork::on_epoll_ready(gint, GIOCondition, gpointer data) {
   static_cast<GioNetwork*>(data)->serve_ready();
   return G_SOURCE_CONTINUE;
 }
 
-// All that is ready, in three rounds: what was asked for with High, the ordinary ones, farewells.
-// What one of them closes or opens is another slot or another generation: what was seen of it finds
-// nothing.
+// An event whose connection was closed by an earlier one finds nothing: its slot is empty or has
+// another generation.
 void GioNetwork::serve_ready() {
-  int n = epoll_wait(poll_, ready_.data(), static_cast<int>(ready_.size()), 0);
-  for (std::uint64_t order : {0, 1, 2}) {
-    for (int i = 0; i < n; ++i) {
-      std::uint64_t label = ready_[static_cast<std::size_t>(i)].data.u64;
-      if ((label & 3) != order)
-        continue;
-      SlotRef ref{static_cast<std::uint32_t>(label) >> 2, static_cast<std::uint32_t>(label >> 32)};
-      serve(ref, ready_[static_cast<std::size_t>(i)].events);
+  int count =
+      epoll_wait(epoll_.get(), ready_events_.data(), static_cast<int>(ready_events_.size()), 0);
+  for (ServiceOrder order :
+       {ServiceOrder::HighUrgency, ServiceOrder::Ordinary, ServiceOrder::Finishing}) {
+    for (int i = 0; i < count; ++i) {
+      const epoll_event event = ready_events_[static_cast<std::size_t>(i)];
+      std::uint64_t label = event.data.u64;
+      if ((label & kOrderMask) == static_cast<std::uint64_t>(order))
+        serve(slot_of(label), event.events);
     }
   }
 }
 
 void GioNetwork::serve(SlotRef ref, std::uint32_t events) {
-  Connection* c = table_.find(ref);
-  if (!c || c->broken)
-    return;
-  bool hung = (events & (EPOLLERR | EPOLLHUP)) != 0;
-  bool writing = c->state == State::Connecting || ((events & EPOLLOUT) != 0 && !c->unsent.empty());
-  bool reading = (events & EPOLLIN) != 0 || hung;
-  if (c->bulk && c->state != State::Connecting) {
-    c->may_write |= writing;
-    c->may_read |= reading;
-    c->hung |= hung;
-    if (!std::exchange(c->queued, true))
-      bulk_.push_back(ref);
+  Connection* connection = table_.find(ref);
+  if (!connection || connection->failed)
     return;
+  bool connecting = connection->state == State::Connecting;
+  bool writable = connecting || ((events & EPOLLOUT) != 0 && !connection->unsent.empty());
+  if (connection->bulk && !connecting) {
+    bool reset = (events & (EPOLLERR | EPOLLHUP)) != 0;
+    connection->writable |= writable;
+    connection->readable |= (events & EPOLLIN) != 0 || reset;
+    connection->reset_by_peer |= reset;
+    return enqueue_bulk(ref, *connection);
   }
-  bool connecting = c->state == State::Connecting;
-  if (writing)
+  if (writable)
     on_writable(ref);
-  // What a connection that has just come up has to read shows in the next turn.
-  if (connecting || (!reading && (events & EPOLLRDHUP) == 0))
-    return;
-  c = table_.find(ref);
-  if (c && c->held && hung) {
-    broken(ref);  // no input is asked for: it can only have been reset
-  } else if (c && !c->held) {
-    on_readable(ref, kReadATurn);
-  } else if (c && c->ends_unread && (events & EPOLLRDHUP) != 0) {
-    broken(ref);
-  }
-}
-
-// Guards ordinary messages against long bodies: fairness is in bytes. Whoever is ready is served in
-// the order of waiting until the turn's bytes are spent; the others are the first of the next turn.
-bool GioNetwork::serve_bulk() {
-  std::size_t spent = 0;
-  for (std::size_t n = bulk_.size(); n > 0 && spent < kBulkATurn; --n) {
-    SlotRef ref = bulk_.front();
-    bulk_.pop_front();
-    Connection* c = table_.find(ref);
-    if (!c)
-      continue;
-    c->queued = false;
-    bool read = std::exchange(c->may_read, false);
-    std::size_t before = written_;
-    if (std::exchange(c->may_write, false))
-      on_writable(ref);
-    c = table_.find(ref);
-    if (c && std::exchange(c->more, false) && c->state == State::Open)
-      c->handler->on_written(ref);
-    c = table_.find(ref);
-    if (c && c->held && c->hung) {
-      broken(ref);
-    } else if (c && read && !c->held) {
-      spent += on_readable(ref, kReadATurn);
-    }
-    spent += written_ - before;
-  }
-  return !bulk_.empty();
+  // The input of a connection that has just come up is reported in the next turn.
+  if (!connecting)
+    serve_input(ref, events);
 }
 
-void GioNetwork::again(SlotRef ref) {
-  Connection* c = table_.find(ref);
-  if (!c)
+void GioNetwork::serve_input(SlotRef ref, std::uint32_t events) {
+  bool reset = (events & (EPOLLERR | EPOLLHUP)) != 0;
+  bool half_closed = (events & EPOLLRDHUP) != 0;
+  if ((events & EPOLLIN) == 0 && !reset && !half_closed)
     return;
-  c->more = true;
-  if (!std::exchange(c->queued, true))
-    bulk_.push_back(ref);
-}
-
-std::size_t GioNetwork::on_readable(SlotRef ref, std::size_t most) {
-  std::size_t done = 0;
-  while (done < most) {  // then the others' turn
-    Connection* c = table_.find(ref);
-    if (!c || c->held)
-      break;
-    // A bulk one in as few calls as can be; else little at once, as the head of a long body may be
-    // among it.
-    std::size_t room = std::min({c->granted, most - done, c->bulk ? kReadATurn : kReadAtOnce});
-    Error error;
-    gssize n = g_socket_receive(c->socket.get(), scratch_.data(), room, nullptr, error.out());
-    if (n < 0 && error.is(G_IO_ERROR_WOULD_BLOCK))
-      break;
-    if (n <= 0) {
-      broken(ref);
-      break;
-    }
-    auto got = static_cast<std::size_t>(n);
-    done += got;
-    if (c->state != State::Open)
-      break;  // thrown away, a little each turn
-    if (c->granted != SIZE_MAX && (c->granted -= got) == 0)
-      set_held(ref, *c, true);
-    c->handler->on_bytes(ref, {scratch_.data(), got});
-    if (got < room)
-      break;
-  }
-  return done;
-}
-
-void GioNetwork::on_writable(SlotRef ref) {
-  Connection* c = table_.find(ref);
-  if (!c)
+  Connection* connection = table_.find(ref);
+  if (!connection)
     return;
-  if (c->state == State::Connecting) {
-    Error error;
-    if (!g_socket_check_connect_result(c->socket.get(), error.out()))
-      return broken(ref);
-    c->state = State::Open;
-    watch(ref, *c);
-    c->handler->on_connected(ref);
-    c = table_.find(ref);
-    if (!c || c->unsent.empty())
-      return;
-  }
-  std::size_t before = c->unsent.size();
-  flush(ref, *c);
-  if (c->state == State::Open && c->unsent.size() < before)
-    c->handler->on_written(ref);
-}
-
-void GioNetwork::send(SlotRef ref, std::string bytes) {
-  Connection* c = table_.find(ref);
-  if (!c || c->state == State::Lingering)
-    return;
-  std::size_t done = 0;
-  if (c->unsent.empty() &&
-      c->state == State::Open) {  // most messages go out whole, and need not be kept
-    Error error;
-    gssize n = g_socket_send(c->socket.get(), bytes.data(), bytes.size(), nullptr, error.out());
-    bool failed = n < 0 && !error.is(G_IO_ERROR_WOULD_BLOCK);
-    done = n < 0 ? 0 : static_cast<std::size_t>(n);
-    written_ += done;
-    if (done == bytes.size())
-      return;
-    if (failed) {  // kept all the same: that it was not written is a proof
-      c->unsent.push(std::move(bytes));
-      return break_later(ref, *c);
-    }
+  if (!connection->reading_paused) {
+    on_readable(ref);
+  } else if (reset || (half_closed && connection->reports_end_while_paused)) {
+    report_closed(ref);
   }
-  c->unsent.push(std::move(bytes), done);
-  if (c->state != State::Connecting)
-    flush(ref, *c);
 }
 
-void GioNetwork::send(SlotRef ref, Slice bytes) {
-  Connection* c = table_.find(ref);
-  if (!c || c->state == State::Lingering)
-    return;
-  c->unsent.push(std::move(bytes));
-  if (c->state != State::Connecting)
-    flush(ref, *c);
-}
-
-std::size_t GioNetwork::unsent(SlotRef ref) {
-  Connection* c = table_.find(ref);
-  return c ? c->unsent.size() : 0;
+void GioNetwork::enqueue_bulk(SlotRef ref, Connection& connection) {
+  if (!std::exchange(connection.queued, true))
+    bulk_queue_.push_back(ref);
 }
 
-// Guards against EPIPE and peers that never read: told as a break in the next turn.
-void GioNetwork::break_later(SlotRef ref, Connection& c) {
-  c.broken = true;
-  watch(ref, c);
-  if (c.end.order == 0)
-    c.end = deadlines_.add(clock_.now(), [this, ref] { broken(ref); });
-}
-
-// Never calls the handler: an error found here shows again when the connection is read.
-void GioNetwork::flush(SlotRef ref, Connection& c) {
-  while (!c.unsent.empty()) {
-    std::array<GOutputVector, kPartsAtOnce> parts;
-    int count = 0;
-    std::size_t offered = 0;
-    c.unsent.first(parts.size(), [&](std::string_view bytes) {
-      parts[static_cast<std::size_t>(count++)] = {bytes.data(), bytes.size()};
-      offered += bytes.size();
-    });
-    Error error;
-    gssize n = count == 1 ? g_socket_send(c.socket.get(), static_cast<const char*>(parts[0].buffer),
-                                          offered, nullptr, error.out())
-                          : g_socket_send_message(c.socket.get(), nullptr, parts.data(), count,
-                                                  nullptr, 0, 0, nullptr, error.out());
-    if (n < 0 && !error.is(G_IO_ERROR_WOULD_BLOCK))
-      return break_later(ref, c);
-    if (n < 0)
-      break;
-    c.unsent.drop(static_cast<std::size_t>(n));
-    written_ += static_cast<std::size_t>(n);
-    if (static_cast<std::size_t>(n) < offered)
-      break;  // the network is full; the next call would say so
-  }
-  if (!c.bulk && c.unsent.size() > kMostUnsent)
-    return break_later(ref, c);
-  if (!c.unsent.empty())
-    return watch(ref, c);
-  if (c.state == State::Flushing) {
-    c.state = State::Lingering;
-    g_socket_shutdown(c.socket.get(), FALSE, TRUE, nullptr);
+// Bulk connections share the turn by bytes: they are served in the order of waiting until the
+// turn's bytes are spent, and the others come first in the next turn.
+bool GioNetwork::serve_bulk() {
+  std::size_t spent = 0;
+  for (std::size_t left = bulk_queue_.size(); left > 0 && spent < kBulkBytesPerTurn; --left) {
+    SlotRef ref = bulk_queue_.front();
+    bulk_queue_.pop_front();
+    Connection* connection = table_.find(ref);
+    if (!connection)
+      continue;
+    connection->queued = false;
+    bool readable = std::exchange(connection->readable, false);
+    std::size_t written_before = written_bytes_;
+    if (std::exchange(connection->writable, false))
+      on_writable(ref);
+    connection = table_.find(ref);
+    bool scheduled = connection && std::exchange(connection->on_written_scheduled, false);
+    if (scheduled && connection->state == State::Open)
+      connection->handler->on_written(ref);
+    connection = table_.find(ref);
+    if (connection && connection->reading_paused && connection->reset_by_peer) {
+      report_closed(ref);
+    } else if (connection && readable && !connection->reading_paused) {
+      spent += on_readable(ref);
+    }
+    spent += written_bytes_ - written_before;
   }
-  watch(ref, c);
+  return !bulk_queue_.empty();
 }
 
-// A close while the peer still writes would reset the connection and could destroy an answer on its
-// way. So our side is shut first, and what comes is thrown away until the peer closes too, for a
-// bounded time and behind all other sockets: a peer that sends megabytes at full speed must not
-// slow down anyone else.
+// Closing while the peer still writes would reset the connection and could destroy an answer on its
+// way. So our side is shut first, and input is discarded until the peer closes too, for a limited
+// time and after all other sockets.
 void GioNetwork::finish(SlotRef ref) {
-  Connection* c = table_.find(ref);
-  if (!c)
+  Connection* connection = table_.find(ref);
+  if (!connection)
     return;
-  if (c->state == State::Connecting)
+  if (connection->state == State::Connecting)
     return remove(ref);
-  if (c->state != State::Open)
+  if (connection->state != State::Open)
     return;
-  c->state = State::Flushing;
-  hold(ref, false);
-  if (c->end.order == 0)
-    c->end = deadlines_.add(clock_.now() + kLinger, [this, ref] { remove(ref); });
-  if (c->accepted)
+  connection->state = State::Flushing;
+  pause_reading(ref, false);
+  if (!connection->end.is_set())
+    connection->end = deadlines_.add(clock_.now() + kLingerTimeout, [this, ref] { remove(ref); });
+  if (connection->is_accepted())
     finishing_.push_back(ref);
-  flush(ref, *c);
+  flush(ref, *connection);
 }
 
 void GioNetwork::close(SlotRef ref) {
@@ -529,70 +252,61 @@
 }
 
 void GioNetwork::reset(SlotRef ref) {
-  if (Connection* c = table_.find(ref)) {
-    linger at_once{1, 0};
-    setsockopt(g_socket_get_fd(c->socket.get()), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+  if (Connection* connection = table_.find(ref)) {
+    linger at_once{.l_onoff = 1, .l_linger = 0};
+    setsockopt(g_socket_get_fd(connection->socket.get()), SOL_SOCKET, SO_LINGER, &at_once,
+               sizeof at_once);
   }
   remove(ref);
 }
 
-bool GioNetwork::unread(SlotRef ref) {
-  Connection* c = table_.find(ref);
-  return c && (g_socket_condition_check(c->socket.get(), G_IO_IN) & G_IO_IN) != 0;
-}
-
-// Guards whoever works for a client that has sent ahead and then gone: behind what it sent its end
-// would not be seen before all of that has been read.
-void GioNetwork::hold(SlotRef ref, bool held) {
-  if (Connection* c = table_.find(ref))
-    c->ends_unread = held && c->accepted && !c->bulk;
-  grant(ref, held ? 0 : SIZE_MAX);
-}
-
-void GioNetwork::grant(SlotRef ref, std::size_t bytes) {
-  Connection* c = table_.find(ref);
-  if (!c || c->state == State::Connecting || (bytes == 0 && c->state != State::Open))
-    return;
-  c->granted = bytes;
-  set_held(ref, *c, bytes == 0);
-}
-
-void GioNetwork::set_held(SlotRef ref, Connection& c, bool held) {
-  if (c.held == held)
-    return;
-  c.held = held;
-  watch(ref, c);
+Descriptor GioNetwork::release(SlotRef ref) {
+  Connection* connection = table_.find(ref);
+  if (!connection || connection->state != State::Open || connection->failed ||
+      !connection->unsent.empty())
+    return {};
+  Descriptor released = Descriptor::copy_of(g_socket_get_fd(connection->socket.get()));
+  if (!released)
+    return {};
+  // Stops the watch by hand: epoll watches the open file, which outlives this descriptor.
+  connection->failed = true;
+  watch(ref, *connection);
+  remove(ref);
+  return released;
 }
 
-void GioNetwork::bulk(SlotRef ref, bool on) {
-  if (Connection* c = table_.find(ref))
-    c->bulk = on;
+// In the next turn, since a handler is never called from inside its own call.
+void GioNetwork::report_closed_later(SlotRef ref, Connection& connection) {
+  connection.failed = true;
+  watch(ref, connection);
+  if (!connection.end.is_set())
+    connection.end = deadlines_.add(clock_.now(), [this, ref] { report_closed(ref); });
 }
 
-void GioNetwork::broken(SlotRef ref) {
-  Connection* c = table_.find(ref);
-  if (!c)
+void GioNetwork::report_closed(SlotRef ref) {
+  Connection* connection = table_.find(ref);
+  if (!connection)
     return;
-  ConnectionHandler* handler = c->handler;
-  bool told = c->state == State::Connecting || c->state == State::Open;
-  bool all_written = c->state != State::Connecting && c->unsent.empty();
+  ConnectionHandler* handler = connection->handler;
+  bool finishing = connection->is_finishing();
+  bool all_written = connection->state != State::Connecting && connection->unsent.empty();
   remove(ref);
-  if (told)
+  if (!finishing)
     handler->on_closed(ref, all_written);
 }
 
 void GioNetwork::remove(SlotRef ref) {
-  Connection* c = table_.find(ref);
-  if (!c)
+  Connection* connection = table_.find(ref);
+  if (!connection)
     return;
-  deadlines_.drop(c->end);
-  g_socket_close(c->socket.get(), nullptr);
-  --(c->accepted ? accepted_ : connected_);
-  if (c->state == State::Flushing || c->state == State::Lingering)
+  deadlines_.drop(connection->end);
+  g_socket_close(connection->socket.get(), nullptr);
+  bool accepted = connection->is_accepted();
+  --(accepted ? accepted_count_ : connected_count_);
+  if (connection->is_finishing())
     std::erase(finishing_, ref);
-  bool accepted = c->accepted;
   table_.erase(ref);
-  if (accepted && !accepts_)
+  if (accepted && !listener_source_)
     resume_accepting();
 }
 
--- a/src/transport/slots.h
+++ b/src/transport/slots.h
@@ -1,5 +1,4 @@
-// A bounded table of numbered slots. A reference carries the slot's generation, so that a number
-// kept too long finds nothing instead of the slot's next tenant.
+// A bounded table of numbered slots with generations.
 #pragma once
 
 #include <compare>
@@ -12,6 +11,8 @@
 
 namespace dispatcher::transport {
 
+// Names an entry of a SlotTable. Once that has been erased the reference finds nothing, also where
+// its slot is used again.
 struct SlotRef {
   std::uint32_t slot = UINT32_MAX;
   std::uint32_t generation = 0;
@@ -26,63 +27,36 @@
   bool full() const { return used_ >= capacity_; }
   std::size_t size() const { return used_; }
 
+  // Nothing: the table is full.
   std::optional<SlotRef> insert(T value) {
     if (full())
       return std::nullopt;
-    std::uint32_t slot;
-    if (free_.empty()) {
-      slot = static_cast<std::uint32_t>(entries_.size());
-      entries_.emplace_back();
-    } else {
-      slot = free_.back();
-      free_.pop_back();
-    }
+    std::uint32_t slot = take_free_slot();
     entries_[slot].value.emplace(std::move(value));
     ++used_;
     return SlotRef{slot, entries_[slot].generation};
   }
+  // Null: erased. The pointer stays valid until the entry is erased.
   T* find(SlotRef ref) {
     if (ref.slot >= entries_.size())
       return nullptr;
-    Entry& e = entries_[ref.slot];
-    return e.generation == ref.generation && e.value ? &*e.value : nullptr;
+    Entry& entry = entries_[ref.slot];
+    return entry.generation == ref.generation && entry.value ? &*entry.value : nullptr;
   }
   void erase(SlotRef ref) {
     if (!find(ref))
       return;
-    Entry& e = entries_[ref.slot];
-    e.value.reset();
-    ++e.generation;
+    Entry& entry = entries_[ref.slot];
+    entry.value.reset();
+    ++entry.generation;
     --used_;
-    free_.push_back(ref.slot);
+    free_slots_.push_back(ref.slot);
   }
   std::vector<SlotRef> refs() const {
     std::vector<SlotRef> all;
-    for (std::uint32_t i = 0; i < entries_.size(); ++i) {
-      {
-        {
-          {
-            {
-              {
-                {
-                  {
-                    {
-                      {
-                        {
-                          {
-                            if (entries_[i].value)
-                              all.push_back({i, entries_[i].generation});
-                          }
-                        }
-                      }
-                    }
-                  }
-                }
-              }
-            }
-          }
-        }
-      }
+    for (std::uint32_t slot = 0; slot < entries_.size(); ++slot) {
+      if (entries_[slot].value)
+        all.push_back({slot, entries_[slot].generation});
     }
     return all;
   }
@@ -92,11 +66,21 @@
     std::uint32_t generation = 0;
     std::optional<T> value;
   };
+
+  std::uint32_t take_free_slot() {
+    if (free_slots_.empty()) {
+      entries_.emplace_back();
+      return static_cast<std::uint32_t>(entries_.size() - 1);
+    }
+    std::uint32_t slot = free_slots_.back();
+    free_slots_.pop_back();
+    return slot;
+  }
+
   std::size_t capacity_;
   std::size_t used_ = 0;
-  std::deque<Entry>
-      entries_;  // a deque: what find() gave stays where it is while others are inserted
-  std::vector<std::uint32_t> free_;
+  std::deque<Entry> entries_;  // a deque does not move its entries when it grows
+  std::vector<std::uint32_t> free_slots_;
 };
 
 }  // namespace dispatcher::transport
--- a/tests/exchanges/player.h
+++ b/tests/exchanges/player.h
@@ -60,13 +60,15 @@
   void send(transport::SlotRef ref, transport::Slice bytes) override {
     ends.at(ref).sent += bytes.bytes;
   }
-  std::size_t unsent(transport::SlotRef ref) override {
+  std::size_t unsent_bytes(transport::SlotRef ref) override {
     const End& end = ends.at(ref);
     return end.stuck ? end.sent.size() : 0;
   }
-  void grant(transport::SlotRef ref, std::size_t bytes) override { ends.at(ref).granted = bytes; }
-  void bulk(transport::SlotRef, bool) override {}
-  void again(transport::SlotRef ref) override { again_.push_back(ref); }
+  void permit_reading(transport::SlotRef ref, std::size_t bytes) override {
+    ends.at(ref).granted = bytes;
+  }
+  void set_bulk(transport::SlotRef, bool) override {}
+  void schedule_on_written(transport::SlotRef ref) override { again_.push_back(ref); }
   void serve_bulk() {
     for (transport::SlotRef ref : std::exchange(again_, {})) {
       if (!ends.at(ref).closed)
@@ -81,8 +83,10 @@
   }
   void reset(transport::SlotRef ref) override { close(ref); }
   transport::Descriptor release(transport::SlotRef) override { return {}; }
-  bool unread(transport::SlotRef ref) override { return ends.at(ref).unread; }
-  void hold(transport::SlotRef ref, bool held) override { grant(ref, held ? 0 : SIZE_MAX); }
+  bool has_unread(transport::SlotRef ref) override { return ends.at(ref).unread; }
+  void pause_reading(transport::SlotRef ref, bool paused) override {
+    permit_reading(ref, paused ? 0 : SIZE_MAX);
+  }
 
  private:
   std::vector<transport::SlotRef> again_;
--- a/tests/streaming/streaming_test.cpp
+++ b/tests/streaming/streaming_test.cpp
@@ -256,12 +256,12 @@
 // ---- The pure parts ----
 
 using dispatcher::streaming::Budget;
-using dispatcher::streaming::kChunk;
+using dispatcher::streaming::kChunkBytes;
 using dispatcher::streaming::Pipe;
 
 TEST_CASE(
     "the budget: never over its ceiling, never a lane without its chunk, room left for newcomers") {
-  Budget budget(100 * kChunk, 40 * kChunk);
+  Budget budget(100 * kChunkBytes, 40 * kChunkBytes);
   std::uint64_t random = 7;
   auto draw = [&](std::uint64_t n) {
     random = random * 6364136223846793005u + 1442695040888963407u;
@@ -293,21 +293,21 @@
 }
 
 TEST_CASE("a pipe keeps its first bytes, and lets them go for room rather than stand still") {
-  Budget budget(4 * kChunk, 2 * kChunk);
-  Pipe pipe(*budget.open(), 3 * kChunk);
-  pipe.append(std::string(2 * kChunk, 'a'));
-  CHECK(pipe.room() == 0);
-  while (!pipe.next(SIZE_MAX).bytes.empty()) {
+  Budget budget(4 * kChunkBytes, 2 * kChunkBytes);
+  Pipe pipe(*budget.open(), 3 * kChunkBytes);
+  pipe.append(std::string(2 * kChunkBytes, 'a'));
+  CHECK(pipe.capacity() == 0);
+  while (!pipe.take(SIZE_MAX).bytes.empty()) {
   }
-  CHECK(pipe.room() == 0);  // not written yet
+  CHECK(pipe.capacity() == 0);  // not written yet
   CHECK(pipe.replayable());
-  pipe.written(2 * kChunk);
-  CHECK(pipe.room() == 2 * kChunk);
+  pipe.mark_written(2 * kChunkBytes);
+  CHECK(pipe.capacity() == 2 * kChunkBytes);
   CHECK_FALSE(pipe.replayable());
   CHECK_FALSE(pipe.rewind());
   pipe.append("b");
-  CHECK(pipe.next(SIZE_MAX).bytes == "b");
+  CHECK(pipe.take(SIZE_MAX).bytes == "b");
   pipe.abandon();
-  CHECK(pipe.held() == 0);
+  CHECK(pipe.held_bytes() == 0);
   CHECK(budget.used() == 1);
 }
--- a/tests/transport/sockets_test.cpp
+++ b/tests/transport/sockets_test.cpp
@@ -150,14 +150,14 @@
   auto ref = *s.network.connect(s.address, s.client, Urgency::Normal);
   s.until([&] { return s.server.accepted.size() == 1; });
   SlotRef held = s.server.accepted[0];
-  s.network.hold(held, true);
-  CHECK_FALSE(s.network.unread(held));
+  s.network.pause_reading(held, true);
+  CHECK_FALSE(s.network.has_unread(held));
   s.network.send(ref, "ahead");
-  s.until([&] { return s.network.unread(held); });
+  s.until([&] { return s.network.has_unread(held); });
   auto other = *s.network.connect(s.address, s.client, Urgency::Normal);
   s.network.send(other, "other");
   s.until([&] { return s.server.bytes == "other"; });
-  s.network.hold(held, false);
+  s.network.pause_reading(held, false);
   s.until([&] { return s.server.bytes == "otherahead"; });
 }
 
@@ -167,9 +167,9 @@
   Scene s;
   auto ref = *s.network.connect(s.address, s.client, Urgency::Normal);
   s.until([&] { return s.server.accepted.size() == 1; });
-  s.network.hold(s.server.accepted[0], true);
+  s.network.pause_reading(s.server.accepted[0], true);
   s.network.send(ref, "ahead");
-  s.until([&] { return s.network.unread(s.server.accepted[0]); });
+  s.until([&] { return s.network.has_unread(s.server.accepted[0]); });
   CHECK(s.server.closed == 0);
   s.network.close(ref);
   s.until([&] { return s.server.closed == 1; });
@@ -214,9 +214,9 @@
     clients.push_back(*s.network.connect(s.address, s.client, Urgency::Normal));
   s.until([&] { return s.server.accepted.size() == 12 && s.client.connected == 12; });
   for (SlotRef ref : s.server.accepted)
-    s.network.bulk(ref, true);
+    s.network.set_bulk(ref, true);
   for (SlotRef ref : clients) {
-    s.network.bulk(ref, true);
+    s.network.set_bulk(ref, true);
     s.network.send(ref, std::string(150'000, 'x'));
   }
   for (std::size_t before = 0; before < 12 * 150'000; before = s.server.bytes.size()) {
