--- a/src/scheduling/request_state.h
+++ b/src/scheduling/request_state.h
@@ -14,13 +14,13 @@
 
 // One send of a request to a worker.
 struct Attempt {
-  Worker* worker;
+  Worker* worker = nullptr;
   Time sent;
   // The first send of those attempts that may have run at the time; the deduplication window counts
   // from it.
   Time window_start;
-  int zone;  // zone and cell of the worker, as listed at the send
-  int cell;
+  int zone = 0;  // zone and cell of the worker, as listed at the send
+  int cell = 0;
   bool open = true;
   bool may_have_run = true;
   bool started = false;
--- a/src/scheduling/retry_budget.h
+++ b/src/scheduling/retry_budget.h
@@ -24,9 +24,9 @@
 
   void on_request_received(Time now);
   void on_request_accepted(Time now);
-  void on_hedge() { recent_hedges_.add(1); }
-  void on_extra_attempt(Time now);          // a retry or a hedge was sent
-  void on_extra_attempt_not_sent(Time at);  // the one counted at `at` never left
+  void on_hedge() { recent_hedges_.add(1); }  // just allowed by allows_hedge()
+  void on_extra_attempt(Time now);            // a retry or a hedge was sent
+  void on_extra_attempt_not_sent(Time at);    // the one counted at `at` never left
 
   bool allows_retry(Time now);
   // `immediate_start_fraction`: of recent requests, those that started without waiting.
--- a/src/scheduling/timer_queue.h
+++ b/src/scheduling/timer_queue.h
@@ -25,9 +25,9 @@
 
 struct Timer {
   Time at;
-  std::uint64_t order;  // of scheduling: timers of the same time fire in it
-  TimerKind kind;
-  std::uint64_t id;  // of a request, or of a watch; 0: none
+  std::uint64_t order = 0;  // of scheduling: timers of the same time fire in it
+  TimerKind kind = TimerKind::Deadline;
+  std::uint64_t id = 0;  // of a request, or of a watch; 0: none
   bool operator>(const Timer& other) const {
     return std::tie(at, order) > std::tie(other.at, other.order);
   }
--- a/src/scheduling/worker.h
+++ b/src/scheduling/worker.h
@@ -19,12 +19,12 @@
 
 // An attempt of this dispatcher that is open at a worker.
 struct OutstandingAttempt {
-  RequestId id;
-  int attempt;
-  std::size_t job_class;
-  double work_ms;  // at standard speed
-  double slots;
-  double memory;
+  RequestId id = 0;
+  int attempt = 0;
+  std::size_t job_class = 0;
+  double work_ms = 0;  // at standard speed
+  double slots = 0;
+  double memory = 0;
   Time sent;
   std::optional<Time> started;
   Time last_heard;
@@ -40,7 +40,7 @@
 // Work sent to a worker that is warming up.
 struct SentWork {
   Time at;
-  double work_ms;
+  double work_ms = 0;
 };
 
 // The fields that are read for every worker every few seconds come first, so that a walk over all
--- a/tests/scheduling/cutoff_test.cpp
+++ b/tests/scheduling/cutoff_test.cpp
@@ -102,7 +102,7 @@
   EXPECT_NEAR(below / all, 0.3, 0.05);
 }
 
-TEST(Cutoff, AbsurdHintsAreLeftOut) {
+TEST(Cutoff, IgnoresAbsurdHints) {
   CostHistogram h;
   for (double x : {0.0, -5.0, std::nan(""), std::numeric_limits<double>::infinity()})
     h.add(Time(Duration(5)), x);
--- a/tests/scheduling/idempotency_test.cpp
+++ b/tests/scheduling/idempotency_test.cpp
@@ -48,7 +48,7 @@
   }
   void end_as(int attempt, std::string_view named, Outcome outcome) {
     actions.clear();
-    dispatcher_.on_attempt_end(now, {1, attempt, false, named, outcome, {}}, actions);
+    scheduler_.on_attempt_end(now, {1, attempt, false, named, outcome, {}}, actions);
   }
   bool silent() { return of(ActionKind::Send).empty() && of(ActionKind::Reject).empty(); }
 
@@ -59,7 +59,7 @@
 // The reported day: the first attempt waits at a worker that drains and is handed back after a copy
 // has gone out. The group has known the key since the first send; the copy must not begin a span of
 // its own.
-TEST(MemorySpan, ACopySharesTheSpanOfAFirstThatIsHandedBackLater) {
+TEST(DeduplicationWindow, AHedgeSharesThatOfAFirstAttemptRejectedLater) {
   for (Outcome proof : kProofs) {
     for (Outcome doubt : kDoubts) {
       for (double at : {kLast - 1, kLast, kSpan + 10}) {
@@ -81,7 +81,7 @@
   }
 }
 
-TEST(MemorySpan, SoDoesACopyOfACopy) {
+TEST(DeduplicationWindow, SoDoesAHedgeOfAHedge) {
   Story s(patient(Idempotency::KeyedIdempotent, DeduplicationScope::Zone));
   s.send_first();
   s.send_copy(1000);
@@ -102,7 +102,7 @@
   EXPECT_TRUE(s.silent());
 }
 
-TEST(MemorySpan, BeginsAnewOnceNothingMayHaveRun) {
+TEST(DeduplicationWindow, BeginsAnewOnceNothingMayHaveRun) {
   for (Outcome proof : kProofs) {
     Story s(patient(Idempotency::KeyedIdempotent, DeduplicationScope::Zone));
     s.send_first();
@@ -117,7 +117,7 @@
   }
 }
 
-TEST(MemorySpan, ARepeatMustArriveWithinItAfterEveryOutcomeThatLeavesDoubt) {
+TEST(DeduplicationWindow, ARetryMustArriveWithinItAfterEveryOutcomeThatProvesNothing) {
   for (Outcome doubt : kDoubts) {
     for (double at : {kLast - 1, kLast}) {
       Story s(patient(Idempotency::KeyedIdempotent, DeduplicationScope::All));
@@ -131,7 +131,7 @@
   }
 }
 
-TEST(MemorySpan, ACopyOfAnAttemptStillOutMustArriveWithinItToo) {
+TEST(DeduplicationWindow, AHedgeOfAnOpenAttemptMustArriveWithinItToo) {
   for (double at : {kLast - 400, kLast}) {  // waiting jobs are looked at a few times a second
     Story s(patient(Idempotency::KeyedIdempotent, DeduplicationScope::Zone));
     s.send_first();
@@ -143,7 +143,7 @@
   }
 }
 
-TEST(MemorySpan, NoRepeatReliesOnItWithoutASaneConnectTimeout) {
+TEST(DeduplicationWindow, NoRetryReliesOnItWithoutAFiniteConnectTimeout) {
   const double inf = std::numeric_limits<double>::infinity();
   std::vector<std::optional<Duration>> timeouts{std::nullopt, Duration(-1), Duration(std::nan("")),
                                                 Duration(inf), Duration(kSpan / 2)};
@@ -164,7 +164,7 @@
   }
 }
 
-TEST(MemorySpan, AnAbsurdSpanIsNoneAtAll) {
+TEST(DeduplicationWindow, AnAbsurdOneIsNone) {
   for (double span : {0.0, std::numeric_limits<double>::infinity()}) {
     Settings set = patient(Idempotency::KeyedIdempotent, DeduplicationScope::All);
     set.classes[0].deduplication_window = Duration(span);
@@ -178,26 +178,26 @@
 
 // After a stall of our own the timers come due first and the old ends behind them, all at the
 // present time.
-TEST(MemorySpan, OldTimersAndEndsAfterAStallOfOurOwn) {
+TEST(DeduplicationWindow, HoldsForOldTimersAndEndsAfterAStallOfTheDispatcher) {
   Story s(patient(Idempotency::KeyedIdempotent, DeduplicationScope::Zone));
   s.send_first();
   s.list({s.worker("a"), s.worker("b")});
   s.now += Duration(1500);
   s.actions.clear();
-  s.dispatcher_.on_timer(s.now, s.actions);
+  s.scheduler_.on_timer(s.now, s.actions);
   ASSERT_EQ(s.sent_to(1), "b");
   s.list({s.worker("a", 0, 0, Readiness::Draining)}, EndpointUpdateKind::Delta);
   s.end(1, 0, Outcome::Rejected);
   s.now = s.first + Duration(kLast);
   s.list({s.worker("b", 0, 0, Readiness::Draining), s.worker("c")}, EndpointUpdateKind::Delta);
   s.actions.clear();
-  s.dispatcher_.on_timer(s.now, s.actions);
+  s.scheduler_.on_timer(s.now, s.actions);
   EXPECT_TRUE(s.silent());
   s.end(1, 1, Outcome::ConnectionReset);
   EXPECT_TRUE(s.silent());
 }
 
-TEST(EffectGroup, IsThatOfTheSendThoughTheListMovesTheWorkerLater) {
+TEST(DeduplicationScope, IsThatOfTheSendThoughAnUpdateMovesTheWorkerLater) {
   for (DeduplicationScope deduplication_scope :
        {DeduplicationScope::Zone, DeduplicationScope::Cell}) {
     for (int place : {0, 1}) {
@@ -210,12 +210,12 @@
   }
 }
 
-TEST(Proof, IsNoneAfterANoteOfAStartOrProgress) {
+TEST(ProofOfNotRunning, IsNoneAfterAStartOrProgressEvent) {
   for (Outcome proof : kProofs) {
     for (JobEventKind kind : {JobEventKind::Started, JobEventKind::Progress}) {
       Story s(patient(Idempotency::NonIdempotent, DeduplicationScope::All));
       s.send_first();
-      s.dispatcher_.on_job_event(s.now, 1, 0, "a", kind, s.actions);
+      s.scheduler_.on_job_event(s.now, 1, 0, "a", kind, s.actions);
       s.list({s.worker("b")}, EndpointUpdateKind::Delta);
       s.end(1, 0, proof);
       EXPECT_TRUE(s.silent());
@@ -224,7 +224,7 @@
   }
 }
 
-TEST(Proof, OfAnotherWorkersNameIsNone) {
+TEST(ProofOfNotRunning, IsNoneFromAnotherWorker) {
   for (Outcome proof : kProofs) {
     Settings set = patient(Idempotency::NonIdempotent, DeduplicationScope::All);
     set.cancellation_allowed = false;
@@ -245,7 +245,7 @@
 
 // The first of two ends in doubt; a second end of it that would prove something, or one under the
 // copy's name, changes nothing: the job may only go within the group, and is not refused.
-TEST(Proof, ComingAfterAnotherEndIsNone) {
+TEST(ProofOfNotRunning, IsNoneAfterAnotherEnd) {
   for (Outcome proof : kProofs) {
     for (Outcome doubt : kDoubts) {
       Story s(patient(Idempotency::KeyedIdempotent, DeduplicationScope::Cell));
@@ -266,7 +266,7 @@
 
 // Held after the proof, since its only worker is full or down, the job is neither sent again nor
 // refused.
-TEST(Proof, IsTakenBackByALaterSignThatItRan) {
+TEST(ProofOfNotRunning, IsRevokedByALaterSignThatItRan) {
   for (Outcome proof : {Outcome::Rejected, Outcome::ConnectFailed}) {
     for (int sign : {0, 1, 2}) {
       Story s(patient(Idempotency::NonIdempotent, DeduplicationScope::All));
@@ -278,7 +278,7 @@
       if (sign == 1)
         s.started(1);
       if (sign == 2)
-        s.dispatcher_.on_job_event(s.now, 1, 0, "nobody", JobEventKind::Progress, s.actions);
+        s.scheduler_.on_job_event(s.now, 1, 0, "nobody", JobEventKind::Progress, s.actions);
       std::vector<Action> seen = s.actions;
       s.pass(30000);
       seen.insert(seen.end(), s.actions.begin(), s.actions.end());
--- a/tests/scheduling/large_fleet_test.cpp
+++ b/tests/scheduling/large_fleet_test.cpp
@@ -30,7 +30,7 @@
   return list;
 }
 
-TEST(Fleet, AlikeJobsSpreadInProportionToCapacityWithoutARush) {  // incident i58b7cc
+TEST(Sampling, EqualRequestsSpreadInProportionToCapacity) {  // incident i58b7cc
   std::vector<std::string> names;
   for (int i = 0; i < 100; ++i)
     names.push_back(name(i));
@@ -55,7 +55,7 @@
   EXPECT_LT(most, dispatchers / 100 * 6);
 }
 
-TEST(Fleet, ASmallFleetIsLookedAtWhole) {
+TEST(Sampling, ASmallFleetIsNotSampled) {
   Settings set = one_of(2, 0);
   Scene s(set);
   s.list({s.worker("a"), s.worker("b"), s.worker("c"), s.worker("d")});
@@ -69,8 +69,8 @@
     EXPECT_LE(n, 2) << worker;
 }
 
-struct Asking : ::testing::Test {
-  Asking() {
+struct PreDispatchCheckRule : ::testing::Test {
+  PreDispatchCheckRule() {
     Settings set = one_of(500, 3);
     set.health_checks_allowed = true;
     set.reports = LoadReportMode::OnProbe;
@@ -90,14 +90,14 @@
     r.free_slots = free_slots;
     r.busy = busy;
     scene->actions.clear();
-    scene->dispatcher_.on_health_check_result(scene->now, worker, Outcome::Success, r,
-                                              scene->actions);
+    scene->scheduler_.on_health_check_result(scene->now, worker, Outcome::Success, r,
+                                             scene->actions);
   }
   std::unique_ptr<Scene> scene;
   std::vector<std::string> names;
 };
 
-TEST_F(Asking, AJobAsksAFewAndGoesWhereThereIsRoom) {
+TEST_F(PreDispatchCheckRule, ARequestChecksSomeWorkersAndGoesWhereASlotIsFree) {
   scene->request(1, 100);
   EXPECT_TRUE(scene->sent_to(1).empty());
   std::vector<std::string> first = asked();
@@ -109,7 +109,7 @@
   EXPECT_EQ(scene->sent_to(1), first.back());
 }
 
-TEST_F(Asking, FreeSlotsAtAWorkerThatIsBusyAllTheTimeAreNotBelieved) {
+TEST_F(PreDispatchCheckRule, FreeSlotsOfAWorkerThatIsAlwaysBusyAreNotBelieved) {
   scene->request(1, 100);
   std::vector<std::string> first = asked();
   for (const std::string& w : first)
@@ -118,7 +118,7 @@
   EXPECT_FALSE(asked().empty());  // others are asked
 }
 
-TEST_F(Asking, AnswersThatDoNotComeHoldNothingUp) {
+TEST_F(PreDispatchCheckRule, MissingAnswersDelayNothing) {
   scene->request(1, 100);
   ASSERT_FALSE(asked().empty());
   scene->pass(60);
@@ -126,7 +126,8 @@
   EXPECT_FALSE(to.empty());
 }
 
-TEST_F(Asking, NoJobGoesToAWorkerWhoseProbeHasJustFailed) {  // incident ifddfb2
+TEST_F(PreDispatchCheckRule,
+       NoRequestGoesToAWorkerWhoseHealthCheckJustFailed) {  // incident ifddfb2
   Settings set = one_of(500, 3);
   set.health_checks_allowed = true;
   set.reports = LoadReportMode::OnProbe;
@@ -138,13 +139,13 @@
     scene->request(1, 100);
     std::string first = asked().at(0);
     scene->actions.clear();
-    scene->dispatcher_.on_health_check_result(scene->now, first, outcome, {}, scene->actions);
+    scene->scheduler_.on_health_check_result(scene->now, first, outcome, {}, scene->actions);
     bool lives = outcome == Outcome::Rejected;  // only too many probes at once
     EXPECT_EQ(scene->sent_to(1), lives ? first : "");
   }
 }
 
-TEST_F(Asking, AWaitingJobIsCopiedOnceThoughBothAreTurnedIntoQueues) {
+TEST_F(PreDispatchCheckRule, AWaitingRequestIsHedgedOnceThoughBothAttemptsAreQueued) {
   Settings set = one_of(500, 3);
   set.classes[0].idempotency = Idempotency::Idempotent;
   set.classes[0].latency_objective = Duration(5000);
@@ -168,7 +169,7 @@
   }
 }
 
-TEST_F(Asking, TheNumberAskedDoesNotGrowWithTheFleet) {
+TEST_F(PreDispatchCheckRule, TheNumberOfChecksDoesNotGrowWithTheFleet) {
   for (int i = 40; i < 400; ++i)
     names.push_back(name(i));
   scene->list(fleet(*scene, names, 0));
@@ -178,7 +179,7 @@
   }
 }
 
-TEST(Fleet, ColdBudgetIsUsedByAFewAndNeverPassed) {  // incidents ief4a90, i16956d
+TEST(SlowStartBudget, IsUsedByItsHoldersAndNeverExceeded) {  // incidents ief4a90, i16956d
   const int dispatchers = 300;
   std::map<int, double> in_span;  // of a cold worker's span, all dispatchers together
   int users = 0;
@@ -198,7 +199,7 @@
       if (sent)
         s.end(id, 0, Outcome::Success, true);
       s.actions.clear();
-      s.dispatcher_.on_client_disconnected(s.now, id, s.actions);
+      s.scheduler_.on_client_disconnected(s.now, id, s.actions);
       s.now += Duration(100);
     }
     users += used;
@@ -217,7 +218,7 @@
 // Thirty of sixty workers have just been replaced, a hundred dispatchers have two jobs a second
 // each, and all warm workers are free. What share of the cold ones' least capacity is used in the
 // first two seconds?
-TEST(Fleet, ManyColdWorkersAreUsedByTheirHoldersThoughOthersAreFree) {
+TEST(SlowStartBudget, HoldersUseTheirWorkersThoughOthersAreFree) {
   double sent = 0;
   for (int index = 0; index < 100; ++index) {
     Settings set = one_of(100, index);
@@ -244,8 +245,8 @@
         LoadReport free;
         free.free_slots = 2;
         s.actions.clear();
-        s.dispatcher_.on_health_check_result(s.now, asked.front(), Outcome::Success, free,
-                                             s.actions);
+        s.scheduler_.on_health_check_result(s.now, asked.front(), Outcome::Success, free,
+                                            s.actions);
         if (to.empty())
           to = s.sent_to(id);
       }
@@ -281,7 +282,7 @@
   }
   void say(int worker, double jobs) {
     actions.clear();
-    dispatcher_.on_load_gossip(now, name(worker), jobs, actions);
+    scheduler_.on_load_gossip(now, name(worker), jobs, actions);
   }
   // The one that a new job asks first, or goes to at once.
   std::string first(RequestId id) {
@@ -294,7 +295,7 @@
   }
 };
 
-TEST(Near, AJobGoesToTheNearWorkerWithLeastOfAllWork) {
+TEST(Affinity, ARequestGoesToTheWorkerWithGossipAndTheLeastWork) {
   NearScene s;
   for (int i = 0; i < 10; ++i)
     s.say(i, i != 2);
@@ -302,11 +303,11 @@
   LoadReport full;  // it is old by a second: what the others tell goes before it
   full.free_slots = 0;
   s.actions.clear();
-  s.dispatcher_.on_health_check_result(s.now, "w2", Outcome::Success, full, s.actions);
+  s.scheduler_.on_health_check_result(s.now, "w2", Outcome::Success, full, s.actions);
   EXPECT_EQ(s.sent_to(1), "w2");
 }
 
-TEST(Near, OthersAreAskedWhereNoneHasRoomAndNewsThatDryUpCountNoMore) {
+TEST(Affinity, OthersAreCheckedWhereNoSlotIsFreeAndGossipExpires) {
   for (double age : {0.0, 6000.0}) {
     int near = 0;
     for (int index = 0; index < 60; ++index) {
@@ -323,10 +324,10 @@
   }
 }
 
-TEST(Near, HearsayNamesNoWorkerAndBringsNoneBack) {
+TEST(Affinity, GossipAddsNoWorkerAndRecoversNone) {
   NearScene s;
   s.actions.clear();
-  s.dispatcher_.on_load_gossip(s.now, "stranger", 0, s.actions);
+  s.scheduler_.on_load_gossip(s.now, "stranger", 0, s.actions);
   EXPECT_TRUE(s.actions.empty());
   s.list({s.worker("w2", 0, 0, Readiness::Draining)}, EndpointUpdateKind::Delta);
   s.say(2, 0);
@@ -334,7 +335,7 @@
     EXPECT_NE(s.first(id), "w2");
 }
 
-TEST(Patience, AClientInAHurryIsServedWhereNobodyWaits) {
+TEST(ShortTimeout, IsServedWhereNoRequestWaits) {
   Scene s(settings(Idempotency::NonIdempotent));
   s.list({s.worker("a")});
   s.request(1, 100, 10000);
@@ -344,7 +345,7 @@
   EXPECT_EQ(s.sent_to(2), "a");
 }
 
-TEST(Patience, ButNotWhereAJobWouldHaveToWait) {
+TEST(ShortTimeout, ButNotWhereARequestWouldHaveToWait) {
   Scene s(settings(Idempotency::NonIdempotent));
   s.list({s.worker("a")});
   s.fill("a", 400);
--- a/tests/scheduling/retry_budget_test.cpp
+++ b/tests/scheduling/retry_budget_test.cpp
@@ -1,6 +1,7 @@
 // The retry budget: attempts beyond a request's first, counted over every sliding window.
 #include <cmath>
 
+#include "scheduling/retry_budget.h"
 #include "tests/scheduling/support.h"
 
 namespace dispatcher::scheduling::testing {
@@ -23,7 +24,7 @@
 }
 
 // Sends `id`, ends each of its attempts by `outcome`, and counts the attempts beyond the first.
-int resends(Scene& scene, RequestId id, Outcome outcome) {
+int count_retries(Scene& scene, RequestId id, Outcome outcome) {
   scene.request(id, 10);
   int extra = -1;
   for (int attempt = 0; attempt < 20 && !scene.sent_to(id).empty(); ++attempt, ++extra)
@@ -34,57 +35,57 @@
 const std::vector<std::string> kNames{"a", "b", "c", "d", "e", "f", "g", "h",
                                       "i", "j", "k", "l", "m", "n", "o", "p"};
 
-TEST(Budget, AFreshStartHasTheFreeAttemptsAndItsShareAlone) {
+TEST(RetryBudgetRule, StartsWithTheFreeAttemptsAndItsRatioAlone) {
   for (Outcome outcome : {Outcome::Rejected, Outcome::ConnectFailed}) {
     Scene scene(budget(2, 0.5, 1000));
     scene.list(many(scene, kNames));
-    EXPECT_EQ(resends(scene, 1, outcome), 2);  // 2 + 0.5 x 1, rounded down
-    EXPECT_EQ(resends(scene, 2, outcome), 1);  // 2 + 0.5 x 2
+    EXPECT_EQ(count_retries(scene, 1, outcome), 2);  // 2 + 0.5 x 1, rounded down
+    EXPECT_EQ(count_retries(scene, 2, outcome), 1);  // 2 + 0.5 x 2
   }
 }
 
-TEST(Budget, NothingIsRationedWithoutTheSetting) {
+TEST(RetryBudgetRule, HasNoLimitWithoutTheSetting) {
   Scene scene(settings());
   scene.list(many(scene, kNames));
-  EXPECT_EQ(resends(scene, 1, Outcome::Rejected), 3);  // max_attempts alone
+  EXPECT_EQ(count_retries(scene, 1, Outcome::Rejected), 3);  // max_attempts alone
 }
 
-TEST(Budget, AttemptsThatWereNeverSentDoNotCount) {
+TEST(RetryBudgetRule, DoesNotCountAttemptsThatWereNotSent) {
   Scene scene(budget(1, 0, 1000));
   scene.list(many(scene, kNames));
-  EXPECT_GT(resends(scene, 1, Outcome::NotSent), 1);
+  EXPECT_GT(count_retries(scene, 1, Outcome::NotSent), 1);
 }
 
-TEST(Budget, RefusedRequestsCountAsTaken) {
+TEST(RetryBudgetRule, CountsRejectedRequestsAsReceived) {
   Scene scene(budget(0, 0.25, 1000));
   scene.list(many(scene, kNames));
   for (RequestId id = 10; id < 17; ++id) {
     scene.request(id, 10, 0);  // no time left: answered at once
     EXPECT_TRUE(scene.answered(id, ActionKind::Reject));
   }
-  EXPECT_EQ(resends(scene, 1, Outcome::Rejected), 2);  // 0.25 x 8
+  EXPECT_EQ(count_retries(scene, 1, Outcome::Rejected), 2);  // 0.25 x 8
 }
 
-TEST(Budget, RequestsThatLeaveTheWindowTakeTheirShareAlong) {
+TEST(RetryBudgetRule, ForgetsRequestsThatLeaveTheWindow) {
   Scene scene(budget(0, 0.25, 1000));
   scene.list(many(scene, kNames));
   for (RequestId id = 10; id < 20; ++id)
     scene.request(id, 10, 0);
   scene.pass(1001);
-  EXPECT_EQ(resends(scene, 1, Outcome::Rejected), 0);
+  EXPECT_EQ(count_retries(scene, 1, Outcome::Rejected), 0);
 }
 
-TEST(Budget, AttemptsStayCountedUntilTheWindowHasPassedThem) {
+TEST(RetryBudgetRule, CountsAttemptsUntilTheyLeaveTheWindow) {
   Scene scene(budget(1, 0, 1000));
   scene.list(many(scene, kNames));
-  EXPECT_EQ(resends(scene, 1, Outcome::Rejected), 1);
+  EXPECT_EQ(count_retries(scene, 1, Outcome::Rejected), 1);
   scene.pass(999);
-  EXPECT_EQ(resends(scene, 2, Outcome::Rejected), 0);
+  EXPECT_EQ(count_retries(scene, 2, Outcome::Rejected), 0);
   scene.pass(10);
-  EXPECT_EQ(resends(scene, 3, Outcome::Rejected), 1);
+  EXPECT_EQ(count_retries(scene, 3, Outcome::Rejected), 1);
 }
 
-TEST(Budget, FiguresThatMakeNoSenseAreTurnedAway) {
+TEST(RetryBudgetRule, RefusesInvalidSettings) {
   std::vector<Action> out;
   for (auto spoil : {+[](Settings& s) { s.retry_budget_window.reset(); },
                      +[](Settings& s) { s.retry_budget_free = -1; },
@@ -98,5 +99,31 @@
   }
 }
 
+TEST(RetryBudget, AHedgeLeavesOneAttemptForARetry) {
+  const Settings set = budget(1, 0, 1000);
+  RetryBudget retry_budget(set);
+  const Time now{Duration(1000000)};
+  EXPECT_TRUE(retry_budget.allows_retry(now));
+  EXPECT_FALSE(retry_budget.allows_hedge(now, 1));
+  retry_budget.on_extra_attempt(now);
+  EXPECT_FALSE(retry_budget.allows_retry(now));
+  retry_budget.on_extra_attempt_not_sent(now);
+  EXPECT_TRUE(retry_budget.allows_retry(now));
+}
+
+TEST(RetryBudget, HedgesAreATenthOfTheRequestsAndOne) {
+  Settings set = settings();
+  set.reports = LoadReportMode::Inline;
+  RetryBudget retry_budget(set);
+  const Time now{Duration(1000000)};
+  for (int i = 0; i < 10; ++i)
+    retry_budget.on_request_accepted(now);
+  EXPECT_TRUE(retry_budget.allows_hedge(now, 0));
+  retry_budget.on_hedge();
+  EXPECT_TRUE(retry_budget.allows_hedge(now, 0));
+  retry_budget.on_hedge();
+  EXPECT_FALSE(retry_budget.allows_hedge(now, 0));
+}
+
 }  // namespace
 }  // namespace dispatcher::scheduling::testing
--- a/tests/scheduling/scheduler_test.cpp
+++ b/tests/scheduling/scheduler_test.cpp
@@ -22,7 +22,7 @@
   return out;
 }
 
-TEST(Settings, NonsenseIsTurnedAwayAtConstruction) {
+TEST(Settings, InvalidOnesAreRefusedAtConstruction) {
   std::vector<Action> out;
   auto rejects = [&](auto change) {
     Settings s = settings();
@@ -43,7 +43,7 @@
   s.list(entries(s, ids, 2));
   int shorts[2] = {};
   for (std::size_t i = 0; i < ids.size(); ++i)
-    shorts[i % 2] += s.dispatcher_.in_short_pool(ids[i]);
+    shorts[i % 2] += s.scheduler_.in_short_pool(ids[i]);
   EXPECT_EQ(shorts[0], 4);
   EXPECT_EQ(shorts[1], 4);
 }
@@ -55,17 +55,17 @@
     s.list(entries(s, ids));
     std::vector<bool> before;
     for (auto& id : ids)
-      before.push_back(s.dispatcher_.in_short_pool(id));
+      before.push_back(s.scheduler_.in_short_pool(id));
     s.list({s.worker(ids[gone], 0, 0, Readiness::Removed), s.worker("10.9.9.9:7000")},
            EndpointUpdateKind::Delta);
     int moved = 0;
     for (int i = 0; i < 12; ++i)
-      moved += i != gone && s.dispatcher_.in_short_pool(ids[i]) != before[i];
+      moved += i != gone && s.scheduler_.in_short_pool(ids[i]) != before[i];
     EXPECT_LE(moved, 1) << gone;
   }
 }
 
-TEST(Choice, ShortAndLongJobsGoToTheirPools) {
+TEST(Selection, ShortAndLongRequestsGoToTheirPools) {
   Scene s(settings());
   auto ids = names(8);
   s.list(entries(s, ids));
@@ -76,15 +76,15 @@
     s.end(id, 0, Outcome::Success, true);
     s.pass(50);
   }
-  ASSERT_GT(s.dispatcher_.cutoff_ms(), 10);
-  ASSERT_LT(s.dispatcher_.cutoff_ms(), 1000);
+  ASSERT_GT(s.scheduler_.cutoff_ms(), 10);
+  ASSERT_LT(s.scheduler_.cutoff_ms(), 1000);
   s.request(++id, 10);
-  EXPECT_TRUE(s.dispatcher_.in_short_pool(s.sent_to(id)));
+  EXPECT_TRUE(s.scheduler_.in_short_pool(s.sent_to(id)));
   s.request(++id, 1000);
-  EXPECT_FALSE(s.dispatcher_.in_short_pool(s.sent_to(id)));
+  EXPECT_FALSE(s.scheduler_.in_short_pool(s.sent_to(id)));
 }
 
-TEST(Choice, LeastOwnOutstandingWorkInsideThePool) {
+TEST(Selection, LeastOwnOutstandingWorkInsideThePool) {
   Scene s(settings());
   s.list({s.worker("a"), s.worker("b"), s.worker("c"), s.worker("d")});
   std::map<RequestId, std::string> to;
@@ -93,14 +93,14 @@
       s.end(2, 0, Outcome::Success, true);  // its worker has the least work again
     s.request(id, 100);
     to[id] = s.sent_to(id);
-    EXPECT_FALSE(s.dispatcher_.in_short_pool(to[id])) << "jobs of one size are all long";
+    EXPECT_FALSE(s.scheduler_.in_short_pool(to[id])) << "jobs of one size are all long";
   }
   EXPECT_NE(to[1], to[2]);
   EXPECT_EQ(to[3], to[2]);
   EXPECT_NE(to[4], "");
 }
 
-TEST(Choice, KindTiedJobsAndLargeJobsKeepToWorkersThatCanRunThem) {
+TEST(Selection, RequestsWithAKindAndLargeOnesGoToWorkersThatCanRunThem) {
   Settings set = settings();
   set.classes[0].kind = 1;
   set.reports = LoadReportMode::Inline;
@@ -121,7 +121,7 @@
   EXPECT_TRUE(s.sent_to(3).empty()) << "four slots do not fit on a worker that showed two at most";
 }
 
-TEST(Hold, AJobWaitsHereWhenNobodyCanStartItSoonAndGoesWhenRoomAppears) {
+TEST(Pending, ARequestWaitsWhileNoWorkerCanStartItSoon) {
   Scene s(settings());
   s.list({s.worker("a")});
   ASSERT_NO_FATAL_FAILURE(s.fill("a", 400));
@@ -131,7 +131,7 @@
   EXPECT_EQ(s.sent_to(3), "a");
 }
 
-TEST(Hold, WhatCanNoLongerBeInTimeIsRefusedEarly) {
+TEST(Pending, WhatCanNoLongerBeInTimeIsRejectedEarly) {
   Scene s(settings(Idempotency::NonIdempotent));
   s.list({s.worker("a")});
   ASSERT_NO_FATAL_FAILURE(s.fill("a", 5000));
@@ -140,7 +140,7 @@
   EXPECT_TRUE(s.answered(3, ActionKind::Reject));
 }
 
-TEST(Hold, LateJobsStayWhereLateAnswersHaveWorth) {
+TEST(Pending, LateRequestsStayWhereLateAnswersHaveAWeight) {
   Settings set = settings(Idempotency::NonIdempotent);
   set.classes[0].late_weight = 0.5;
   Scene s(set);
@@ -155,7 +155,7 @@
 
 // Guards the worth of a day: booked jobs worth ten of the others were held behind them until nobody
 // waited.
-TEST(Hold, WhoIsWorthMostForItsWorkGoesFirstAndWhoIsLateByWhatIsLeft) {
+TEST(Pending, TheHighestWeightForItsWorkGoesFirstAndLateOnesByTheRestOfTheirWeight) {
   Settings set = settings(Idempotency::NonIdempotent);
   set.classes.push_back(set.classes[0]);
   set.classes[0].late_weight = 0.2;
@@ -169,7 +169,7 @@
     s.actions.clear();
     Request r{
         .id = id, .job_class = job_class, .timeout = Duration(10000), .cost_hint = Duration(100)};
-    s.dispatcher_.on_request(s.now, r, s.actions);
+    s.scheduler_.on_request(s.now, r, s.actions);
     ASSERT_TRUE(s.sent_to(id).empty());
   };
   hold(3, 1);
@@ -182,7 +182,7 @@
   }
 }
 
-TEST(Choice, AFreeSlotOfTheOtherPoolGoesBeforeAQueueInTheOwn) {
+TEST(Selection, AFreeSlotOfTheOtherPoolIsPreferredToAQueueInTheOwn) {
   Scene s(settings());
   s.list({s.worker("a"), s.worker("b")});
   std::map<std::string, int> at;
@@ -196,7 +196,7 @@
 }
 
 // Where no second copy may be sent, a job in a queue is lost to whatever stands before it.
-TEST(Choice, AQueueIsJoinedOnlyWhereASecondCopyMayHelp) {
+TEST(Selection, AQueueIsJoinedOnlyWhereAHedgeMayHelp) {
   for (bool copies : {true, false}) {
     Settings set = settings();
     set.hedging_allowed = copies;
@@ -213,7 +213,7 @@
   }
 }
 
-TEST(Hold, QueuedJobsThatCanOnlyBeLateAreGivenUpAndCancelled) {  // incident ic10efd
+TEST(Pending, QueuedRequestsThatCanOnlyBeLateAreAbandonedAndCancelled) {  // incident ic10efd
   Scene s(settings(Idempotency::NonIdempotent));
   s.list({s.worker("a")});
   s.request(1, 100);
@@ -223,7 +223,7 @@
   EXPECT_TRUE(s.answered(1, ActionKind::Cancel));
 }
 
-TEST(Hold, RunningJobsAreLeftToEnd) {
+TEST(Pending, RunningRequestsAreNotCancelled) {
   Scene s(settings(Idempotency::NonIdempotent));
   s.list({s.worker("a")});
   s.request(1, 100);
@@ -233,7 +233,7 @@
   EXPECT_FALSE(s.answered(1, ActionKind::Fail));
 }
 
-TEST(OthersWork, AFullWorkerIsNotAskedAgainAtOnce) {  // incident ief4a90
+TEST(ExternalLoad, AFullWorkerIsNotTriedAgainAtOnce) {  // incident ief4a90
   Scene s(settings());
   s.list({s.worker("a")});
   s.request(1, 100);
@@ -246,7 +246,7 @@
   EXPECT_EQ(s.sent_to(1), "a");
 }
 
-TEST(OthersWork, ReportsMoveJobsAway) {
+TEST(ExternalLoad, ReportsMoveRequestsAway) {
   Settings set = settings();
   set.reports = LoadReportMode::Inline;
   Scene s(set);
@@ -267,7 +267,7 @@
   }
 }
 
-TEST(OthersWork, AReportThatComesWithAnEndDoesNotCountOurOwnEndedJobs) {  // incident ie12df0
+TEST(ExternalLoad, AReportWithAnAttemptEndDoesNotCountOwnEndedRequests) {  // incident ie12df0
   Settings set = settings();
   set.reports = LoadReportMode::Inline;
   Scene s(set);
@@ -281,7 +281,7 @@
   EXPECT_EQ(s.sent_to(3), "a");
 }
 
-TEST(Health, UnreachableWorkerGetsNoJobsUntilATrialSucceeds) {
+TEST(Health, UnreachableWorkerGetsNoRequestsUntilARecoveryProbeSucceeds) {
   Settings set = settings(Idempotency::NonIdempotent);
   set.health_checks_allowed = true;
   Scene s(set);
@@ -293,7 +293,7 @@
   ASSERT_EQ(s.of(ActionKind::HealthCheck).size(),
             1U);  // at once: it may have been the connection alone
   s.actions.clear();
-  s.dispatcher_.on_health_check_result(s.now, first, Outcome::ConnectFailed, {}, s.actions);
+  s.scheduler_.on_health_check_result(s.now, first, Outcome::ConnectFailed, {}, s.actions);
   for (RequestId id = 2; id < 6; ++id) {
     s.request(id, 10);
     EXPECT_NE(s.sent_to(id), first);
@@ -306,7 +306,7 @@
 
 // Guards the other tenants from a burst of one: what is beyond its share takes only what nobody
 // else needs.
-TEST(Shares, AJobBeyondItsTenantsShareLeavesASlotFree) {
+TEST(TenantQuotaRule, ARequestOverQuotaLeavesASlotFree) {
   Settings set = settings();
   set.tenant_quotas = {2, 2};
   set.over_quota_weight = 0.05;
@@ -334,7 +334,7 @@
 
 // Guards clients that move here while another dispatcher restarts: all tenants send more then,
 // which is no burst.
-TEST(Shares, FollowTheOtherTenantsWhenClientsMoveHere) {
+TEST(TenantQuotaRule, FollowsTheOtherTenantsWhenClientsMoveHere) {
   auto held =
       [](bool all_tenants) {  // jobs that had to wait when traffic became three times as much
         Settings set = settings();
@@ -361,7 +361,7 @@
             if (sent) {
               s.end(id, 0, Outcome::Success, true);
             } else {
-              s.dispatcher_.on_client_disconnected(s.now, id, s.actions);
+              s.scheduler_.on_client_disconnected(s.now, id, s.actions);
             }
           }
         }
@@ -373,7 +373,7 @@
 
 // Guards heavy jobs, which are worth as much more: one must not wait out its time because light
 // ones came before it.
-TEST(Shares, AHeavyJobMayBorrowFromItsTenants) {
+TEST(TenantQuotaRule, AHeavyRequestMayBorrowFromItsTenant) {
   Settings set = settings();
   set.tenant_quotas = {2, 2};
   set.over_quota_weight = 0.05;
@@ -391,7 +391,7 @@
   EXPECT_EQ(s.sent_to(6), "a");
 }
 
-TEST(Shares, WithoutAQuotaThereIsNone) {
+TEST(TenantQuotaRule, WithoutAQuotaThereIsNone) {
   Settings set = settings();
   set.tenant_quotas = {2, 2, 2, 0};
   set.over_quota_weight = 0.05;
@@ -420,14 +420,14 @@
   };
   lose(1);
   ASSERT_EQ(s.of(ActionKind::HealthCheck).size(), 1U);
-  s.dispatcher_.on_health_check_result(s.now, "a", Outcome::Success, {}, s.actions);
+  s.scheduler_.on_health_check_result(s.now, "a", Outcome::Success, {}, s.actions);
   lose(2);
   EXPECT_TRUE(s.of(ActionKind::HealthCheck).empty());
   s.request(3, 900);
   EXPECT_TRUE(s.sent_to(3).empty());
 }
 
-TEST(Health, WaitingAloneDoesNotTakeAWorkerDown) {  // incident i3eacf2
+TEST(Health, WaitingAloneDoesNotEjectAWorker) {  // incident i3eacf2
   Settings set = settings();
   set.health_checks_allowed = true;
   set.classes[0].latency_objective = Duration(9000);
@@ -440,7 +440,7 @@
     EXPECT_EQ(a.text.find("taken as down"), std::string::npos);
 }
 
-TEST(Health, ALaggingSafeJobGetsASecondCopyAndTheWaitingOneIsCancelled) {
+TEST(Health, ASlowIdempotentRequestIsHedgedAndTheWaitingAttemptIsCancelled) {
   Scene s(settings());
   s.list({s.worker("a"), s.worker("b")});
   s.request(1, 100);
@@ -454,7 +454,7 @@
   EXPECT_EQ(s.of(ActionKind::Cancel)[0].attempt, 0);
 }
 
-TEST(Zones, HomeFirstAndAcrossWhenHomeIsFull) {
+TEST(Zones, OwnZoneFirstAndAnotherWhenItIsFull) {
   Scene s(settings());
   s.list({s.worker("near", 0), s.worker("far", 1)});
   for (RequestId id : {1, 2}) {
@@ -478,14 +478,14 @@
     s.end(id, 0, Outcome::Success, true);  // a duplicate
   }
   s.actions.clear();
-  s.dispatcher_.on_attempt_end(s.now, {99, 7, false, "nobody", Outcome::ConnectionReset, {}},
-                               s.actions);
-  s.dispatcher_.on_job_event(s.now, 99, -1, "a", JobEventKind::Started, s.actions);
-  s.dispatcher_.on_health_check_result(s.now, "nobody", Outcome::Success, {}, s.actions);
-  s.dispatcher_.on_timer(s.now, s.actions);
+  s.scheduler_.on_attempt_end(s.now, {99, 7, false, "nobody", Outcome::ConnectionReset, {}},
+                              s.actions);
+  s.scheduler_.on_job_event(s.now, 99, -1, "a", JobEventKind::Started, s.actions);
+  s.scheduler_.on_health_check_result(s.now, "nobody", Outcome::Success, {}, s.actions);
+  s.scheduler_.on_timer(s.now, s.actions);
   EXPECT_TRUE(s.of(ActionKind::Send).empty() && s.of(ActionKind::Fail).empty() &&
               s.of(ActionKind::Reject).empty());
-  EXPECT_EQ(s.dispatcher_.open_requests(), 0U);
+  EXPECT_EQ(s.scheduler_.open_requests(), 0U);
 }
 
 // What a worker's report says of errors, after two jobs that it served at once.
@@ -496,7 +496,7 @@
   return r;
 }
 
-TEST(Failing, AWorkerWhoseReportsTellOfManyErrorsIsLeftAloneForAWhile) {
+TEST(Failing, AWorkerThatReportsManyErrorsGetsNothingForAWhile) {
   Scene s(settings(Idempotency::NonIdempotent));
   s.list(entries(s, {"a", "b"}));
   s.request(1, 100);
@@ -515,7 +515,7 @@
   EXPECT_EQ(s.sent_to(5), bad) << "and it gets another chance";
 }
 
-TEST(Failing, WhereAllFailAlikeNobodyIsLeftAlone) {
+TEST(Failing, WhereAllFailAlikeEachStillGetsRequests) {
   Scene s(settings(Idempotency::NonIdempotent));
   s.list(entries(s, {"a", "b"}));
   for (RequestId id = 1; id <= 60; ++id) {
@@ -576,7 +576,7 @@
   }
   bool goes(std::size_t job_class) {
     actions.clear();
-    dispatcher_.on_request(now, {++last, job_class, Duration(60000), Duration(10)}, actions);
+    scheduler_.on_request(now, {++last, job_class, Duration(60000), Duration(10)}, actions);
     return sent_to(last) == "a";
   }
   void serve(std::size_t job_class, Outcome outcome) {
@@ -587,7 +587,7 @@
   RequestId last = 0;
 };
 
-TEST(Shun, AWorkerThatFailsOneClassIsLeftAloneByThatClassAlone) {
+TEST(ClassEjection, AWorkerThatFailsOneClassIsEjectedForThatClassAlone) {
   TwoClasses s;
   s.serve(1, Outcome::Success);
   s.serve(0, Outcome::Failure);
@@ -595,7 +595,7 @@
   EXPECT_TRUE(s.goes(1));
 }
 
-TEST(Shun, LastsTwiceAsLongAfterASecondFailureAndEndsWithASuccess) {
+TEST(ClassEjection, LastsTwiceAsLongAfterASecondFailureAndEndsWithASuccess) {
   TwoClasses s;
   s.serve(0, Outcome::Failure);
   s.pass(5001);
@@ -611,7 +611,7 @@
   EXPECT_TRUE(s.goes(0));
 }
 
-TEST(Shun, ASingleFailureAmongJobsServedIsChance) {
+TEST(ClassEjection, ASingleFailureAmongSuccessesIsChance) {
   TwoClasses s;
   for (int i = 0; i < 3; ++i)
     s.serve(0, Outcome::Success);
@@ -620,21 +620,21 @@
   EXPECT_FALSE(s.goes(0));
 }
 
-TEST(Shun,
+TEST(ClassEjection,
      IsNoAnswerToOverload) {  // full, withdrawn or late: the worker is busy, whatever the class
   for (Outcome outcome : {Outcome::Rejected, Outcome::Cancelled}) {
     TwoClasses s;
     ASSERT_TRUE(s.goes(0));
     s.end(s.last, 0, outcome);
     s.pass(1000);
-    bool resent = !s.sent_to(s.last).empty();
-    EXPECT_TRUE(resent || s.goes(0)) << "long before a shunned worker would be tried again";
+    bool retried = !s.sent_to(s.last).empty();
+    EXPECT_TRUE(retried || s.goes(0)) << "long before a shunned worker would be tried again";
   }
 }
 
 // Where clients give no hints, the ends are all that tells what a job of a class costs: a guess
 // that stays at 100 ms has a fleet of 500 ms jobs refuse nearly all as hopeless.
-TEST(Hints, WithoutThemAClassCostsWhatItsEndsHaveShown) {
+TEST(CostHints, WithoutThemAClassCostsWhatItsEndsHaveShown) {
   Settings set = settings();
   set.classes[0].latency_objective = Duration(300);
   set.classes[0].objective_work_factor = 1.75;
@@ -658,7 +658,7 @@
   EXPECT_EQ(went + s.sent_to(3), "a");
 }
 
-TEST(Hints, WithoutThemAColdWorkerGetsOneJobOfAClassThatHasNotEndedYet) {
+TEST(CostHints, WithoutThemAWorkerThatWarmsUpGetsOneRequestOfAClassWithoutEnds) {
   Scene s(settings());
   WorkerEntry cold = s.worker("a");
   cold.online_since = s.now;
@@ -676,7 +676,7 @@
 
 // What a cancel does not stop would run for nobody, and its client come again: a jam that feeds
 // itself.
-TEST(Hints, WithoutThemAQueuedJobIsNotGivenUpBeforeItsClientDoes) {
+TEST(CostHints, WithoutThemAQueuedRequestIsNotAbandonedBeforeItsClientTimesOut) {
   Scene s(settings(Idempotency::NonIdempotent));
   s.list({s.worker("a")});
   s.request(1, 0);
@@ -688,7 +688,7 @@
 
 // Few jobs a dispatcher, and nothing told of the workers: a class of one size must not fill one
 // pool alone.
-TEST(Hints, WithoutThemADrawnFleetUsesBothPools) {
+TEST(CostHints, WithoutThemASampledFleetUsesBothPools) {
   Settings set = settings();
   set.dispatchers = 100;
   Scene s(set);
@@ -699,7 +699,7 @@
     s.request(id, 0);
     std::string worker = s.sent_to(id);
     ASSERT_FALSE(worker.empty());
-    in_short += s.dispatcher_.in_short_pool(worker) ? 1 : 0;
+    in_short += s.scheduler_.in_short_pool(worker) ? 1 : 0;
     s.started(id);
     s.pass(100);
     s.end(id, 0, Outcome::Success, true);
@@ -709,7 +709,7 @@
 }
 
 // Copies of all that waits double the load of a full fleet, where cancels stop nothing.
-TEST(Copies, AreAtMostATenthOfTheRequestsOfLateAndOne) {
+TEST(Hedges, AreAtMostATenthOfTheRecentRequestsAndOne) {
   Scene s(settings());
   auto ids = names(30);
   s.list(entries(s, ids));
@@ -728,7 +728,7 @@
 // no report tells who has room, the copy would wait too, or take a slot from a job of somebody
 // else: they fed the jam of a calm day with a burst. Reports tell, and a copy among them helps who
 // waits at a worker that is stuck.
-TEST(Copies, AreNoneWithoutReportsWhereHalfOfTheJobsOfLateHaveWaited) {
+TEST(Hedges, AreNoneWithoutReportsWhereHalfOfTheRecentRequestsHaveWaited) {
   for (auto [prompt, reports] :
        {std::pair(true, LoadReportMode::Off), std::pair(false, LoadReportMode::Off),
         std::pair(false, LoadReportMode::Inline)}) {
@@ -765,7 +765,7 @@
 
 // Where no report tells it, a queue that a start note has shown does not go away within a job's
 // run.
-TEST(OthersWork, IsRememberedLongerWhereThereAreNoReports) {
+TEST(ExternalLoad, IsRememberedLongerWithoutReports) {
   for (bool reports : {true, false}) {
     Settings set = settings();
     set.hedging_allowed = false;  // no queue is joined
--- a/tests/scheduling/service_rules_test.cpp
+++ b/tests/scheduling/service_rules_test.cpp
@@ -7,17 +7,17 @@
 namespace dispatcher::scheduling::testing {
 namespace {
 
-TEST(FinalAnswer, HeldJobIsRefusedBeforeTheClientGivesUp) {
+TEST(FinalAnswer, PendingRequestIsRejectedBeforeTheClientTimesOut) {
   Scene s(settings(Idempotency::NonIdempotent));
   s.list({});
   s.request(1, 100, 800);
   EXPECT_TRUE(s.sent_to(1).empty());
   s.pass(799);
   EXPECT_TRUE(s.answered(1, ActionKind::Reject));
-  EXPECT_EQ(s.dispatcher_.open_requests(), 0U);
+  EXPECT_EQ(s.scheduler_.open_requests(), 0U);
 }
 
-TEST(FinalAnswer, JobThatMayHaveRunFailsInsteadAndOnlyOnce) {
+TEST(FinalAnswer, RequestThatMayHaveRunFailsInsteadAndOnlyOnce) {
   Settings set = settings(Idempotency::NonIdempotent);
   set.cancellation_allowed = false;
   Scene s(set);
@@ -49,66 +49,67 @@
   s.list({});
   s.request(1, 100);
   s.actions.clear();
-  s.dispatcher_.on_client_disconnected(s.now, 1, s.actions);
-  s.dispatcher_.on_client_disconnected(s.now, 1, s.actions);
+  s.scheduler_.on_client_disconnected(s.now, 1, s.actions);
+  s.scheduler_.on_client_disconnected(s.now, 1, s.actions);
   s.list({s.worker("a")});
   s.pass(11000);
   EXPECT_TRUE(s.of(ActionKind::Send).empty() && s.of(ActionKind::Reject).empty());
 }
 
-struct Resend {
+struct RetryCase {
   Idempotency idempotency;
   DeduplicationScope deduplication_scope;
   Outcome outcome;
   int zone;
   int cell;  // of the only other worker; the first is in zone 0, cell 0
-  bool resent;
+  bool retried;
 };
 
-class Effects : public ::testing::TestWithParam<Resend> {};
+class IdempotencyRules : public ::testing::TestWithParam<RetryCase> {};
 
-TEST_P(Effects, ResendsOnlyWhereNothingCanHappenTwice) {
-  Resend p = GetParam();
+TEST_P(IdempotencyRules, RetriesOnlyWhereNothingCanRunTwice) {
+  RetryCase p = GetParam();
   Scene s(settings(p.idempotency, p.deduplication_scope));
   s.list({s.worker("a")});
   s.request(1, 100);
   ASSERT_EQ(s.sent_to(1), "a");
   s.list({s.worker("a", 0, 0, Readiness::Draining), s.worker("b", p.zone, p.cell)});
   s.end(1, 0, p.outcome);
-  EXPECT_EQ(s.sent_to(1), p.resent ? "b" : "");
+  EXPECT_EQ(s.sent_to(1), p.retried ? "b" : "");
   bool may_have_run = p.outcome != Outcome::Rejected && p.outcome != Outcome::ConnectFailed;
-  if (!p.resent && may_have_run && p.idempotency != Idempotency::Idempotent) {
+  if (!p.retried && may_have_run && p.idempotency != Idempotency::Idempotent) {
     EXPECT_TRUE(s.of(ActionKind::Reject).empty()) << "a refusal would promise that nothing ran";
   }
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    All, Effects,
-    ::testing::Values(
-        Resend{Idempotency::Idempotent, DeduplicationScope::All, Outcome::ConnectionReset, 1, 1,
-               true},
-        Resend{Idempotency::NonIdempotent, DeduplicationScope::All, Outcome::ConnectionReset, 0, 0,
-               false},
-        Resend{Idempotency::NonIdempotent, DeduplicationScope::All, Outcome::Failure, 0, 0, false},
-        Resend{Idempotency::NonIdempotent, DeduplicationScope::All, Outcome::Cancelled, 0, 0,
-               false},
-        Resend{Idempotency::NonIdempotent, DeduplicationScope::All, Outcome::ConnectFailed, 0, 0,
-               true},
-        Resend{Idempotency::NonIdempotent, DeduplicationScope::All, Outcome::Rejected, 0, 0, true},
-        Resend{Idempotency::KeyedIdempotent, DeduplicationScope::All, Outcome::ConnectionReset, 1,
-               1, true},
-        Resend{Idempotency::KeyedIdempotent, DeduplicationScope::Zone, Outcome::ConnectionReset, 0,
-               1, true},
-        Resend{Idempotency::KeyedIdempotent, DeduplicationScope::Zone, Outcome::ConnectionReset, 1,
-               1, false},
-        Resend{Idempotency::KeyedIdempotent, DeduplicationScope::Cell, Outcome::ConnectionReset, 0,
-               0, true},
-        Resend{Idempotency::KeyedIdempotent, DeduplicationScope::Cell, Outcome::ConnectionReset, 0,
-               1, false},
-        Resend{Idempotency::KeyedIdempotent, DeduplicationScope::Cell, Outcome::ConnectFailed, 1, 1,
-               true}));
+    All, IdempotencyRules,
+    ::testing::Values(RetryCase{Idempotency::Idempotent, DeduplicationScope::All,
+                                Outcome::ConnectionReset, 1, 1, true},
+                      RetryCase{Idempotency::NonIdempotent, DeduplicationScope::All,
+                                Outcome::ConnectionReset, 0, 0, false},
+                      RetryCase{Idempotency::NonIdempotent, DeduplicationScope::All,
+                                Outcome::Failure, 0, 0, false},
+                      RetryCase{Idempotency::NonIdempotent, DeduplicationScope::All,
+                                Outcome::Cancelled, 0, 0, false},
+                      RetryCase{Idempotency::NonIdempotent, DeduplicationScope::All,
+                                Outcome::ConnectFailed, 0, 0, true},
+                      RetryCase{Idempotency::NonIdempotent, DeduplicationScope::All,
+                                Outcome::Rejected, 0, 0, true},
+                      RetryCase{Idempotency::KeyedIdempotent, DeduplicationScope::All,
+                                Outcome::ConnectionReset, 1, 1, true},
+                      RetryCase{Idempotency::KeyedIdempotent, DeduplicationScope::Zone,
+                                Outcome::ConnectionReset, 0, 1, true},
+                      RetryCase{Idempotency::KeyedIdempotent, DeduplicationScope::Zone,
+                                Outcome::ConnectionReset, 1, 1, false},
+                      RetryCase{Idempotency::KeyedIdempotent, DeduplicationScope::Cell,
+                                Outcome::ConnectionReset, 0, 0, true},
+                      RetryCase{Idempotency::KeyedIdempotent, DeduplicationScope::Cell,
+                                Outcome::ConnectionReset, 0, 1, false},
+                      RetryCase{Idempotency::KeyedIdempotent, DeduplicationScope::Cell,
+                                Outcome::ConnectFailed, 1, 1, true}));
 
-TEST(Effects, KeyedIsNotResentBeyondTheMemorySpan) {
+TEST(IdempotencyRules, KeyedIsNotRetriedAfterTheDeduplicationWindow) {
   for (double waited : {4000.0, 5001.0}) {
     Settings set = settings(Idempotency::KeyedIdempotent, DeduplicationScope::All);
     set.classes[0].latency_objective = Duration(9000);
@@ -124,7 +125,7 @@
   }
 }
 
-TEST(Effects, AttemptsStopAtTheAllowedNumber) {
+TEST(IdempotencyRules, AttemptsStopAtTheAllowedNumber) {
   Settings set = settings(Idempotency::Idempotent);
   set.max_attempts = 2;
   Scene s(set);
@@ -138,7 +139,7 @@
   EXPECT_TRUE(s.answered(1, ActionKind::Reject));
 }
 
-TEST(Effects, OneAttemptAtATimeWhereCopiesAreNotAllowed) {
+TEST(IdempotencyRules, OneAttemptAtATimeWhereHedgingIsNotAllowed) {
   Settings set = settings(Idempotency::Idempotent);
   set.hedging_allowed = false;
   Scene s(set);
@@ -149,7 +150,7 @@
   EXPECT_TRUE(s.of(ActionKind::Send).empty());
 }
 
-TEST(Drain, NothingNewOnceTold) {
+TEST(Drain, NothingNewOnceDraining) {
   Scene s(settings());
   s.list({s.worker("a")});
   s.list({s.worker("a", 0, 0, Readiness::Draining)}, EndpointUpdateKind::Delta);
@@ -162,7 +163,7 @@
   EXPECT_TRUE(s.sent_to(2).empty());
 }
 
-TEST(Drain, AFullListRemovesWhatItDoesNotName) {
+TEST(Drain, ASnapshotRemovesWhatItDoesNotList) {
   Scene s(settings());
   s.list({s.worker("a")});
   s.list({});
@@ -170,7 +171,7 @@
   EXPECT_TRUE(s.sent_to(1).empty());
 }
 
-TEST(Drain, SubscribesAtLaunchAndAgainAfterErrorsWellInTime) {
+TEST(EndpointWatch, WatchesAtStartAndAgainAfterFailuresInTime) {
   Settings set = settings();
   set.watch_required = true;
   set.poll_deadline = Duration(8000);
@@ -216,7 +217,7 @@
 
 // Each asks again within 1.5 s, as a change counts as told 6 s after discovery had it; but never
 // all at once.
-TEST(Drain, AHundredDispatchersSpreadTheirCallsWithinTheTimeThatAChangeIsTold) {
+TEST(EndpointWatch, AHundredDispatchersSpreadTheirCallsWithinTheTimeForAnUpdate) {
   std::vector<int> calls = asking_together(true);
   EXPECT_LE(*std::ranges::max_element(calls), 17);
   for (std::size_t second = 1; second < 19; ++second) {
@@ -248,7 +249,7 @@
       for (const Action& a : s->of(ActionKind::Send)) {
         sent.emplace_back((s->now - begin).count(), cost_hint);
         std::vector<Action> ignored;
-        s->dispatcher_.on_attempt_end(s->now, {a.id, 0, true, "a", Outcome::Success, {}}, ignored);
+        s->scheduler_.on_attempt_end(s->now, {a.id, 0, true, "a", Outcome::Success, {}}, ignored);
       }
     };
     RequestId id = 0;
@@ -283,7 +284,7 @@
   return worst;
 }
 
-TEST(Cold, AllDispatchersTogetherStayWithinTheBudget) {
+TEST(SlowStartBudget, AllDispatchersTogetherStayWithinIt) {
   for (int dispatchers : {1, 2, 3, 7, 14}) {
     double used = most_in_a_span(dispatchers, 40).of_budget;
     EXPECT_LE(used, 1.0) << dispatchers;
@@ -291,7 +292,7 @@
   }
 }
 
-TEST(Cold, ANewProcessLeavesRoomForWhatItsPredecessorMayHaveSent) {
+TEST(SlowStartBudget, ANewProcessLeavesAShareForItsPredecessorsSends) {
   for (int dispatchers : {1, 2, 3, 7, 14}) {
     for (double every : {1300, 1700, 2900}) {
       MostInASpan used = most_in_a_span(dispatchers, 40, every);
@@ -303,12 +304,13 @@
   }
 }
 
-TEST(Cold, OneHeavyJobDoesNotSpendTheWholeBudget) {
+TEST(SlowStartBudget, OneHeavyRequestDoesNotUseItUp) {
   EXPECT_LE(most_in_a_span(2, 900).of_budget, 1.0);
 }
 
-TEST(Cold, ALoneDispatcherSpendsNoThirdOfTheWholeOnOneJob) {  // found by hunt: its hint may lie by
-                                                              // a factor
+TEST(SlowStartBudget,
+     ALoneDispatcherUsesNoThirdOfItOnOneRequest) {  // found by hunt: its hint may lie by
+                                                    // a factor
   EXPECT_LE(most_in_a_span(1, 40).of_budget, 0.6);
   Settings set = settings(Idempotency::NonIdempotent);
   Scene s(set);
@@ -326,7 +328,7 @@
 // Found on a twin with one dispatcher: 27 short jobs within a second pushed a cold worker over,
 // though their hints were a twenty-fifth of what such jobs take on average. A hint counts for no
 // less than its class does.
-TEST(Cold, AFloodOfShortHintsCountsAsJobsOfItsClass) {
+TEST(SlowStartBudget, ManyShortHintsCountAsTheMeanOfTheirClass) {
   Settings set = settings(Idempotency::NonIdempotent);
   set.classes[0].latency_objective = set.classes[0].deadline = Duration(1e6);
   Scene s(set);
@@ -353,7 +355,7 @@
                   // given out
 }
 
-TEST(Cold, RestartUnderTheSameIdIsColdAgain) {
+TEST(SlowStart, RestartUnderTheSameIdWarmsUpAgain) {
   Settings set = settings(Idempotency::NonIdempotent);
   set.dispatchers = 4;
   set.index = 3;
@@ -372,7 +374,7 @@
   EXPECT_EQ(s.sent_to(3), "a");
 }
 
-TEST(Cold, BackFromSilenceIsColdUntilShownOtherwise) {
+TEST(SlowStart, RecoveredWorkerWarmsUpUntilShownOtherwise) {
   Settings set = settings(Idempotency::NonIdempotent);
   set.health_checks_allowed = true;
   set.dispatchers = 4;
@@ -381,12 +383,12 @@
   s.request(1, 10);
   ASSERT_EQ(s.sent_to(1), "a");
   s.end(1, 0, Outcome::ConnectionReset);
-  s.dispatcher_.on_health_check_result(s.now, "a", Outcome::ConnectFailed, {}, s.actions);
+  s.scheduler_.on_health_check_result(s.now, "a", Outcome::ConnectFailed, {}, s.actions);
   s.actions.clear();
   s.pass(1100);
   ASSERT_EQ(s.of(ActionKind::HealthCheck).size(), 1U);
   s.actions.clear();
-  s.dispatcher_.on_health_check_result(s.now, "a", Outcome::Success, {}, s.actions);
+  s.scheduler_.on_health_check_result(s.now, "a", Outcome::Success, {}, s.actions);
   s.request(2, 900);
   EXPECT_TRUE(s.sent_to(2).empty());
 }
--- /dev/null
+++ b/tests/scheduling/slow_start_test.cpp
@@ -0,0 +1,65 @@
+// The capacity and the budget of a worker that is warming up.
+#include "scheduling/slow_start.h"
+
+#include <gtest/gtest.h>
+
+namespace dispatcher::scheduling::testing {
+namespace {
+
+constexpr Time kStart{Duration(1000000)};
+
+class SlowStartTest : public ::testing::Test {
+ protected:
+  SlowStartTest() {
+    settings_.slow_start_initial_fraction = 0.2;
+    settings_.slow_start_duration = Duration(1000);
+    settings_.overload_multiple = 2;
+    settings_.overload_window = Duration(500);
+    worker_.slots = 4;
+    worker_.warming_up_since = kStart;
+    worker_.online_since = kStart;
+    costs_.of_class(0).learn(10);
+  }
+
+  RequestState request(double work_ms) {
+    RequestState state;
+    state.work_ms = work_ms;
+    return state;
+  }
+
+  Settings settings_;
+  CostEstimator costs_;
+  Worker worker_;
+};
+
+TEST_F(SlowStartTest, CapacityGrowsFromTheInitialFractionToAll) {
+  const SlowStart slow_start(settings_, costs_, kStart - Duration(10000));
+  EXPECT_DOUBLE_EQ(slow_start.capacity_fraction(worker_, kStart), 0.2);
+  EXPECT_DOUBLE_EQ(slow_start.capacity_fraction(worker_, kStart + Duration(500)), 0.6);
+  EXPECT_DOUBLE_EQ(slow_start.capacity_fraction(worker_, kStart + Duration(1000)), 1);
+  EXPECT_FALSE(slow_start.warming_up(worker_, kStart + Duration(1000)));
+}
+
+TEST_F(SlowStartTest, ALoneDispatcherLeavesOneOfTwoShares) {
+  const SlowStart slow_start(settings_, costs_, kStart - Duration(10000));
+  // 2 x 500 ms x 4 slots x speed 1 x 0.2, in two shares.
+  EXPECT_DOUBLE_EQ(slow_start.budget_share(worker_, 1, kStart), 400);
+}
+
+TEST_F(SlowStartTest, SendsUseUpTheBudgetUntilTheWindowHasPassed) {
+  const SlowStart slow_start(settings_, costs_, kStart - Duration(10000));
+  const RequestState state = request(200);
+  EXPECT_TRUE(slow_start.within_budget(worker_, state, 1, kStart));
+  slow_start.on_send(worker_, state, 1, kStart);
+  EXPECT_FALSE(slow_start.within_budget(worker_, state, 1, kStart));
+  EXPECT_TRUE(slow_start.within_budget(worker_, state, 1, kStart + Duration(501)));
+}
+
+TEST_F(SlowStartTest, AWarmWorkerHasNoBudget) {
+  const SlowStart slow_start(settings_, costs_, kStart - Duration(10000));
+  const RequestState state = request(1e6);
+  EXPECT_TRUE(slow_start.within_budget(worker_, state, 1, kStart + Duration(1000)));
+}
+
+}  // namespace
+}  // namespace dispatcher::scheduling::testing
--- a/tests/scheduling/support.h
+++ b/tests/scheduling/support.h
@@ -44,7 +44,7 @@
 class Scene {
  public:
   explicit Scene(const Settings& s, Time begun = Time(Duration(1000000)))
-      : now(begun), dispatcher_(s, now, actions) {}
+      : now(begun), scheduler_(s, now, actions) {}
 
   WorkerEntry worker(std::string_view name, int zone = 0, int cell = 0,
                      Readiness readiness = Readiness::Ready) {
@@ -58,7 +58,7 @@
   void list(const std::vector<WorkerEntry>& entries,
             EndpointUpdateKind kind = EndpointUpdateKind::Snapshot) {
     actions.clear();
-    dispatcher_.on_endpoint_update(now, kind, entries, actions);
+    scheduler_.on_endpoint_update(now, kind, entries, actions);
   }
   void request(RequestId id, double cost_hint, double timeout = 10000, double slots = 1,
                std::size_t tenant = 0) {
@@ -69,17 +69,17 @@
     r.cost_hint = Duration(cost_hint);
     r.slots = slots;
     r.tenant = tenant;
-    dispatcher_.on_request(now, r, actions);
+    scheduler_.on_request(now, r, actions);
   }
   void end(RequestId id, int attempt, Outcome outcome, bool final = false, LoadReport report = {}) {
     std::string worker = attempt_worker.at({id, attempt});
     actions.clear();
-    dispatcher_.on_attempt_end(now, {id, attempt, final, worker, outcome, report}, actions);
+    scheduler_.on_attempt_end(now, {id, attempt, final, worker, outcome, report}, actions);
   }
   void started(RequestId id, int attempt = 0) {
     std::string worker = attempt_worker.at({id, attempt});
     actions.clear();
-    dispatcher_.on_job_event(now, id, attempt, worker, JobEventKind::Started, actions);
+    scheduler_.on_job_event(now, id, attempt, worker, JobEventKind::Started, actions);
   }
   // Jobs 1 and 2 start and keep both slots of `worker`, the only one listed, busy.
   void fill(const std::string& worker, double cost_hint) {
@@ -95,7 +95,7 @@
     actions.clear();
     for (Time until = now + Duration(span); now < until;) {
       now += Duration(1);
-      dispatcher_.on_timer(now, actions);
+      scheduler_.on_timer(now, actions);
     }
   }
   std::vector<Action> of(ActionKind kind) {
@@ -126,7 +126,7 @@
   std::vector<Action> actions;
   std::map<std::pair<RequestId, int>, std::string> attempt_worker;
   std::map<RequestId, int> attempts;
-  Scheduler dispatcher_;
+  Scheduler scheduler_;
 };
 
 }  // namespace dispatcher::scheduling::testing
