--- a/src/scheduling/cost_model.cpp
+++ b/src/scheduling/cost_model.cpp
@@ -83,10 +83,11 @@
   return work_ / (1000 * half_life_s / std::log(2) * (1 - std::exp2(-age_s / half_life_s)));
 }
 
-// Mean slowdown of a pool that has `capacity_share` of the capacity and serves `pool` of the work,
-// up to a factor that both pools have in common; negative if the pool is overloaded. Schroeder and
-// Harchol-Balter, section 4: by Pollaczek-Khinchin E[W] = lambda E[X^2] / (2 (1 - rho)), and
-// E[S] = E[W] E[1/X], with rho = load * (the pool's part of the work) / capacity_share. With n
+// Mean slowdown in a pool that has `capacity_share` of the capacity, up to a factor that both pools
+// have in common; negative if the pool is overloaded. `pool` sums up the requests that it serves.
+// Schroeder and Harchol-Balter, section 4: by Pollaczek-Khinchin
+//   E[W] = lambda E[X^2] / (2 (1 - rho)) and E[S] = E[W] E[1/X],
+// where the utilization rho is load * (the pool's part of the work) / capacity_share. With n
 // requests of work w in all, lambda is in proportion to n / w.
 double CostHistogram::slowdown(const Bin& pool, double utilization, double capacity_share) {
   if (!(utilization < 1))
--- a/tests/scheduling/cutoff_test.cpp
+++ b/tests/scheduling/cutoff_test.cpp
@@ -1,4 +1,4 @@
-// The cutoff against values computed here by other means: sums over the raw jobs instead of a
+// The cutoff against values computed here by other means: sums over the raw requests instead of a
 // histogram.
 #include <cmath>
 #include <random>
@@ -8,23 +8,23 @@
 namespace dispatcher::scheduling::testing {
 namespace {
 
-CostHistogram histogram_of(const std::vector<double>& jobs) {
+CostHistogram histogram_of(const std::vector<double>& requests) {
   CostHistogram h;
-  for (double x : jobs)
+  for (double x : requests)
     h.add(Time(Duration(5)), x);
   return h;
 }
 
-// Mean slowdown of the jobs in [low, high) on one queue holding `share` of the capacity, up to the
-// common factor.
-double slowdown(const std::vector<double>& jobs, double low, double high, double load,
+// Mean slowdown of the requests in [low, high) on one queue holding `share` of the capacity, up to
+// the common factor.
+double slowdown(const std::vector<double>& requests, double low, double high, double load,
                 double share) {
   double all = 0;
   double n = 0;
   double work = 0;
   double square = 0;
   double inverse = 0;
-  for (double x : jobs) {
+  for (double x : requests) {
     all += x;
     if (x < low || x >= high)
       continue;
@@ -39,45 +39,45 @@
 }
 
 std::vector<double> bounded_pareto(std::size_t n, double alpha, double low, double high) {
-  std::vector<double> jobs;  // by quantiles: no chance involved
+  std::vector<double> requests;  // by quantiles: no chance involved
   for (std::size_t i = 0; i < n; ++i) {
     double u = (i + 0.5) / n;
     double ratio = std::pow(low / high, alpha);
-    jobs.push_back(low / std::pow(1 - u * (1 - ratio), 1 / alpha));
+    requests.push_back(low / std::pow(1 - u * (1 - ratio), 1 / alpha));
   }
-  return jobs;
+  return requests;
 }
 
-// The fair cutoff by bisection on the raw jobs: slowdown of short ones grows with it, of long ones
-// falls.
-double fair_by_bisection(const std::vector<double>& jobs, double load, double share) {
-  double low = *std::min_element(jobs.begin(), jobs.end());
-  double high = *std::max_element(jobs.begin(), jobs.end());
+// The fair cutoff by bisection on the raw requests: slowdown of short ones grows with it, of long
+// ones falls.
+double fair_by_bisection(const std::vector<double>& requests, double load, double share) {
+  double low = *std::min_element(requests.begin(), requests.end());
+  double high = *std::max_element(requests.begin(), requests.end());
   for (int i = 0; i < 100; ++i) {
     double middle = std::sqrt(low * high);
-    double shorts = slowdown(jobs, 0, middle, load, share);
-    double longs = slowdown(jobs, middle, 1e18, load, 1 - share);
+    double shorts = slowdown(requests, 0, middle, load, share);
+    double longs = slowdown(requests, middle, 1e18, load, 1 - share);
     (shorts < longs ? low : high) = middle;
   }
   return low;
 }
 
 TEST(Cutoff, HeavyTailMatchesBisection) {
-  auto jobs = bounded_pareto(4000, 1.2, 10, 100000);
+  auto requests = bounded_pareto(4000, 1.2, 10, 100000);
   for (double load : {0.4, 0.6, 0.8}) {
-    auto found = histogram_of(jobs).fair_cutoff(load, 0.5);
+    auto found = histogram_of(requests).fair_cutoff(load, 0.5);
     ASSERT_TRUE(found);
-    double expected = fair_by_bisection(jobs, load, 0.5);
+    double expected = fair_by_bisection(requests, load, 0.5);
     EXPECT_NEAR(std::log2(*found), std::log2(expected), 0.3)
         << load;  // a bin is a quarter of an octave
   }
 }
 
 TEST(Cutoff, UnequalPoolsMatchBisection) {
-  auto jobs = bounded_pareto(4000, 1.4, 5, 20000);
-  auto found = histogram_of(jobs).fair_cutoff(0.5, 0.35);
+  auto requests = bounded_pareto(4000, 1.4, 5, 20000);
+  auto found = histogram_of(requests).fair_cutoff(0.5, 0.35);
   ASSERT_TRUE(found);
-  EXPECT_NEAR(std::log2(*found), std::log2(fair_by_bisection(jobs, 0.5, 0.35)), 0.3);
+  EXPECT_NEAR(std::log2(*found), std::log2(fair_by_bisection(requests, 0.5, 0.35)), 0.3);
 }
 
 TEST(Cutoff, OneSizeOnlyHasNoFairCutoff) {
@@ -91,11 +91,11 @@
 }
 
 TEST(Cutoff, RuleOfThumbSendsHalfTheLoadsFractionShort) {
-  auto jobs = bounded_pareto(4000, 1.2, 10, 100000);
-  double cutoff = histogram_of(jobs).rule_of_thumb_cutoff(0.6);
+  auto requests = bounded_pareto(4000, 1.2, 10, 100000);
+  double cutoff = histogram_of(requests).rule_of_thumb_cutoff(0.6);
   double below = 0;
   double all = 0;
-  for (double x : jobs) {
+  for (double x : requests) {
     all += x;
     below += x < cutoff ? x : 0;
   }
@@ -135,7 +135,7 @@
 }
 
 TEST(CostHintModel,
-     HintsWithoutMeaningShrinkToTheMean) {  // incident ic372f3: short hints hid long jobs
+     HintsWithoutMeaningShrinkToTheMean) {  // incident ic372f3: short hints hid long requests
   CostHintModel m;
   for (int i = 0; i < 2000; ++i)
     m.learn(i % 2 ? 10 : 1000, (i / 2) % 2 ? 50 : 200);
--- a/tests/scheduling/large_fleet_test.cpp
+++ b/tests/scheduling/large_fleet_test.cpp
@@ -9,22 +9,23 @@
 namespace {
 
 Settings one_of(int dispatchers, int index) {
-  Settings s = settings(Idempotency::NonIdempotent);
-  s.dispatchers = dispatchers;
-  s.index = index;
-  s.seed = 1000 + index;
-  s.classes[0].objective_work_factor = 10;
-  return s;
+  Settings config = settings(Idempotency::NonIdempotent);
+  config.dispatchers = dispatchers;
+  config.index = index;
+  config.seed = 1000 + index;
+  config.classes[0].objective_work_factor = 10;
+  return config;
 }
 
 std::string name(int i) {
   return "w" + std::to_string(i);
 }
 
-std::vector<WorkerEntry> fleet(Scene& s, const std::vector<std::string>& names, std::size_t fast) {
+std::vector<WorkerEntry> fleet(Scene& scene, const std::vector<std::string>& names,
+                               std::size_t fast) {
   std::vector<WorkerEntry> list;
   for (std::size_t i = 0; i < names.size(); ++i) {
-    list.push_back(s.worker(names[i]));
+    list.push_back(scene.worker(names[i]));
     list.back().size = i < fast ? 2 : 1;
   }
   return list;
@@ -34,17 +35,17 @@
   std::vector<std::string> names;
   for (int i = 0; i < 100; ++i)
     names.push_back(name(i));
-  std::map<std::string, int> jobs;
+  std::map<std::string, int> requests;
   const int dispatchers = 2000;
   for (int index = 0; index < dispatchers; ++index) {
-    Scene s(one_of(dispatchers, index));
-    s.list(fleet(s, names, 50));
-    s.request(1, 100);
-    ++jobs[s.sent_to(1)];
+    Scene scene(one_of(dispatchers, index));
+    scene.list(fleet(scene, names, 50));
+    scene.request(1, 100);
+    ++requests[scene.sent_to(1)];
   }
   int fast = 0;
   int most = 0;
-  for (const auto& [worker, n] : jobs) {
+  for (const auto& [worker, n] : requests) {
     ASSERT_FALSE(worker.empty());
     most = std::max(most, n);
     if (std::stoi(worker.substr(1)) < 50)
@@ -57,15 +58,15 @@
 
 TEST(Sampling, ASmallFleetIsNotSampled) {
   Settings set = one_of(2, 0);
-  Scene s(set);
-  s.list({s.worker("a"), s.worker("b"), s.worker("c"), s.worker("d")});
-  std::map<std::string, int> jobs;
+  Scene scene(set);
+  scene.list({scene.worker("a"), scene.worker("b"), scene.worker("c"), scene.worker("d")});
+  std::map<std::string, int> requests;
   for (RequestId id = 1; id <= 4; ++id) {
-    s.request(id, 100);
-    ++jobs[s.sent_to(id)];
+    scene.request(id, 100);
+    ++requests[scene.sent_to(id)];
   }
-  EXPECT_EQ(jobs.count(""), 0U);
-  for (const auto& [worker, n] : jobs)
+  EXPECT_EQ(requests.count(""), 0U);
+  for (const auto& [worker, n] : requests)
     EXPECT_LE(n, 2) << worker;
 }
 
@@ -79,7 +80,7 @@
       names.push_back(name(i));
     scene->list(fleet(*scene, names, 0));
   }
-  std::vector<std::string> asked() {
+  std::vector<std::string> checked_workers() {
     std::vector<std::string> found;
     for (const Action& a : scene->of(ActionKind::HealthCheck))
       found.emplace_back(a.worker);
@@ -100,7 +101,7 @@
 TEST_F(PreDispatchCheckRule, ARequestChecksSomeWorkersAndGoesWhereASlotIsFree) {
   scene->request(1, 100);
   EXPECT_TRUE(scene->sent_to(1).empty());
-  std::vector<std::string> first = asked();
+  std::vector<std::string> first = checked_workers();
   ASSERT_FALSE(first.empty());
   EXPECT_LE(first.size(), 2U);
   for (std::size_t i = 0; i + 1 < first.size(); ++i)
@@ -111,16 +112,16 @@
 
 TEST_F(PreDispatchCheckRule, FreeSlotsOfAWorkerThatIsAlwaysBusyAreNotBelieved) {
   scene->request(1, 100);
-  std::vector<std::string> first = asked();
+  std::vector<std::string> first = checked_workers();
   for (const std::string& w : first)
     answer(w, 2, 1);
   EXPECT_TRUE(scene->sent_to(1).empty());
-  EXPECT_FALSE(asked().empty());  // others are asked
+  EXPECT_FALSE(checked_workers().empty());  // others are asked
 }
 
 TEST_F(PreDispatchCheckRule, MissingAnswersDelayNothing) {
   scene->request(1, 100);
-  ASSERT_FALSE(asked().empty());
+  ASSERT_FALSE(checked_workers().empty());
   scene->pass(60);
   std::string to = scene->sent_to(1);
   EXPECT_FALSE(to.empty());
@@ -137,7 +138,7 @@
     scene->list(fleet(*scene, names, 0));
     scene->pass(2000);  // nothing heard of any worker lately
     scene->request(1, 100);
-    std::string first = asked().at(0);
+    std::string first = checked_workers().at(0);
     scene->actions.clear();
     scene->scheduler_.on_health_check_result(scene->now, first, outcome, {}, scene->actions);
     bool lives = outcome == Outcome::Rejected;  // only too many probes at once
@@ -152,18 +153,18 @@
   for (bool drawn : {true, false}) {
     set.dispatchers = drawn ? 500 : 1;
     set.index = 0;
-    Scene s(set);
-    s.list(fleet(s, names, 0));
-    s.request(1, 100);
+    Scene scene(set);
+    scene.list(fleet(scene, names, 0));
+    scene.request(1, 100);
     int sends = 1;
-    ASSERT_FALSE(s.sent_to(1).empty());
+    ASSERT_FALSE(scene.sent_to(1).empty());
     for (int i = 0; i < 1000; ++i) {
-      s.pass(1);
-      if (s.sent_to(1).empty())
+      scene.pass(1);
+      if (scene.sent_to(1).empty())
         continue;
       ++sends;
       if (sends == 2)
-        s.end(1, 0, Outcome::Cancelled);  // what it waits for does not come
+        scene.end(1, 0, Outcome::Cancelled);  // what it waits for does not come
     }
     EXPECT_EQ(sends > 2, !drawn);
   }
@@ -175,39 +176,40 @@
   scene->list(fleet(*scene, names, 0));
   for (RequestId id = 1; id <= 20; ++id) {
     scene->request(id, 100);
-    EXPECT_LE(asked().size(), 2U);
+    EXPECT_LE(checked_workers().size(), 2U);
   }
 }
 
 TEST(SlowStartBudget, IsUsedByItsHoldersAndNeverExceeded) {  // incidents ief4a90, i16956d
   const int dispatchers = 300;
-  std::map<int, double> in_span;  // of a cold worker's span, all dispatchers together
+  std::map<int, double>
+      in_window;  // of a starting worker's overload window, all dispatchers together
   int users = 0;
   for (int index = 0; index < dispatchers; ++index) {
-    Scene s(one_of(dispatchers, index));
-    WorkerEntry cold = s.worker("a");
-    cold.online_since = s.now;
-    s.list({cold});
+    Scene scene(one_of(dispatchers, index));
+    WorkerEntry starting = scene.worker("a");
+    starting.online_since = scene.now;
+    scene.list({starting});
     bool used = false;
     RequestId id = 0;
-    for (int step = 0; step < 90; ++step) {  // of 100 ms; the ramp takes 10 s
-      s.request(++id, 100);
-      bool sent = !s.sent_to(id).empty();
+    for (int step = 0; step < 90; ++step) {  // of 100 ms; the ramp takes 10 scene
+      scene.request(++id, 100);
+      bool sent = !scene.sent_to(id).empty();
       used |= sent;
       if (sent)
-        in_span[step / 10] += 100;
+        in_window[step / 10] += 100;
       if (sent)
-        s.end(id, 0, Outcome::Success, true);
-      s.actions.clear();
-      s.scheduler_.on_client_disconnected(s.now, id, s.actions);
-      s.now += Duration(100);
+        scene.end(id, 0, Outcome::Success, true);
+      scene.actions.clear();
+      scene.scheduler_.on_client_disconnected(scene.now, id, scene.actions);
+      scene.now += Duration(100);
     }
     users += used;
   }
   EXPECT_GT(users, 0);
   EXPECT_LT(users, dispatchers / 2);
   double all = 0;
-  for (auto [span, work] : in_span) {
+  for (auto [span, work] : in_window) {
     double warm = 0.25 + 0.75 * span / 10;
     EXPECT_LE(work, 3 * 2 * warm * 1000) << span;
     all += work / (3 * 2 * warm * 1000) / 9;
@@ -215,9 +217,9 @@
   EXPECT_GT(all, 0.2);  // a fair part is used
 }
 
-// Thirty of sixty workers have just been replaced, a hundred dispatchers have two jobs a second
-// each, and all warm workers are free. What share of the cold ones' least capacity is used in the
-// first two seconds?
+// Thirty of sixty workers have just been replaced, a hundred dispatchers have two requests a second
+// each, and all warm workers are free. What fraction of the starting ones' minimum capacity is used
+// in the first two seconds?
 TEST(SlowStartBudget, HoldersUseTheirWorkersThoughOthersAreFree) {
   double sent = 0;
   for (int index = 0; index < 100; ++index) {
@@ -225,38 +227,38 @@
     set.health_checks_allowed = true;
     set.reports = LoadReportMode::Inline;
     set.overload_window = Duration(2000);
-    Scene s(set);
+    Scene scene(set);
     std::vector<std::string> names;
     for (int i = 0; i < 60; ++i)
       names.push_back(name(i));
-    auto list = fleet(s, names, 0);
+    auto list = fleet(scene, names, 0);
     for (int i = 0; i < 30; ++i)
-      list[i].online_since = s.now;
-    s.list(list);
+      list[i].online_since = scene.now;
+    scene.list(list);
     for (RequestId id = 1; id <= 4; ++id) {
-      s.request(id, 150);
-      std::string to = s.sent_to(id);
+      scene.request(id, 150);
+      std::string to = scene.sent_to(id);
       std::deque<std::string> asked;
       auto note_asked = [&] {
-        for (const Action& a : s.of(ActionKind::HealthCheck))
+        for (const Action& a : scene.of(ActionKind::HealthCheck))
           asked.emplace_back(a.worker);
       };
       for (note_asked(); !asked.empty(); asked.pop_front(), note_asked()) {
         LoadReport free;
         free.free_slots = 2;
-        s.actions.clear();
-        s.scheduler_.on_health_check_result(s.now, asked.front(), Outcome::Success, free,
-                                            s.actions);
+        scene.actions.clear();
+        scene.scheduler_.on_health_check_result(scene.now, asked.front(), Outcome::Success, free,
+                                                scene.actions);
         if (to.empty())
-          to = s.sent_to(id);
+          to = scene.sent_to(id);
       }
       ASSERT_FALSE(to.empty());
       if (std::stoi(to.substr(1)) < 30)
         sent += 150;
-      s.started(id);
-      s.pass(150);
-      s.end(id, 0, Outcome::Success, true);
-      s.pass(350);
+      scene.started(id);
+      scene.pass(150);
+      scene.end(id, 0, Outcome::Success, true);
+      scene.pass(350);
     }
   }
   double capacity = 30 * 2 * 2000 * 0.25;  // work in two seconds
@@ -264,7 +266,8 @@
   EXPECT_LT(sent, 2 * capacity);
 }
 
-// A dispatcher of a hundred that hears of the workers w0 to w9 what the others have there.
+// A dispatcher of a hundred that receives gossip about the workers w0 to w9 what the others have
+// there.
 struct NearScene : Scene {
   explicit NearScene(int index = 7) : Scene(near_settings(index)) {
     std::vector<std::string> names;
@@ -280,11 +283,11 @@
     set.reports = LoadReportMode::Inline;
     return set;
   }
-  void say(int worker, double jobs) {
+  void say(int worker, double requests) {
     actions.clear();
-    scheduler_.on_load_gossip(now, name(worker), jobs, actions);
+    scheduler_.on_load_gossip(now, name(worker), requests, actions);
   }
-  // The one that a new job asks first, or goes to at once.
+  // The one that a new request checks first, or goes to at once.
   std::string first(RequestId id) {
     request(id, 100);
     for (const Action& a : actions) {
@@ -296,26 +299,26 @@
 };
 
 TEST(Affinity, ARequestGoesToTheWorkerWithGossipAndTheLeastWork) {
-  NearScene s;
+  NearScene scene;
   for (int i = 0; i < 10; ++i)
-    s.say(i, i != 2);
-  EXPECT_EQ(s.first(1), "w2");
+    scene.say(i, i != 2);
+  EXPECT_EQ(scene.first(1), "w2");
   LoadReport full;  // it is old by a second: what the others tell goes before it
   full.free_slots = 0;
-  s.actions.clear();
-  s.scheduler_.on_health_check_result(s.now, "w2", Outcome::Success, full, s.actions);
-  EXPECT_EQ(s.sent_to(1), "w2");
+  scene.actions.clear();
+  scene.scheduler_.on_health_check_result(scene.now, "w2", Outcome::Success, full, scene.actions);
+  EXPECT_EQ(scene.sent_to(1), "w2");
 }
 
 TEST(Affinity, OthersAreCheckedWhereNoSlotIsFreeAndGossipExpires) {
   for (double age : {0.0, 6000.0}) {
     int near = 0;
     for (int index = 0; index < 60; ++index) {
-      NearScene s(index);
+      NearScene scene(index);
       for (int i = 0; i < 10; ++i)
-        s.say(i, 2);
-      s.now += Duration(age);
-      std::string asked = s.first(1);
+        scene.say(i, 2);
+      scene.now += Duration(age);
+      std::string asked = scene.first(1);
       ASSERT_FALSE(asked.empty());
       near += std::stoi(asked.substr(1)) < 10;
     }
@@ -325,32 +328,32 @@
 }
 
 TEST(Affinity, GossipAddsNoWorkerAndRecoversNone) {
-  NearScene s;
-  s.actions.clear();
-  s.scheduler_.on_load_gossip(s.now, "stranger", 0, s.actions);
-  EXPECT_TRUE(s.actions.empty());
-  s.list({s.worker("w2", 0, 0, Readiness::Draining)}, EndpointUpdateKind::Delta);
-  s.say(2, 0);
+  NearScene scene;
+  scene.actions.clear();
+  scene.scheduler_.on_load_gossip(scene.now, "stranger", 0, scene.actions);
+  EXPECT_TRUE(scene.actions.empty());
+  scene.list({scene.worker("w2", 0, 0, Readiness::Draining)}, EndpointUpdateKind::Delta);
+  scene.say(2, 0);
   for (RequestId id = 1; id <= 40; ++id)
-    EXPECT_NE(s.first(id), "w2");
+    EXPECT_NE(scene.first(id), "w2");
 }
 
 TEST(ShortTimeout, IsServedWhereNoRequestWaits) {
-  Scene s(settings(Idempotency::NonIdempotent));
-  s.list({s.worker("a")});
-  s.request(1, 100, 10000);
-  ASSERT_EQ(s.sent_to(1), "a");
-  s.end(1, 0, Outcome::Success, true);
-  s.request(2, 100, 300);  // of the usual patience nearly all is missing
-  EXPECT_EQ(s.sent_to(2), "a");
+  Scene scene(settings(Idempotency::NonIdempotent));
+  scene.list({scene.worker("a")});
+  scene.request(1, 100, 10000);
+  ASSERT_EQ(scene.sent_to(1), "a");
+  scene.end(1, 0, Outcome::Success, true);
+  scene.request(2, 100, 300);  // of the usual timeout nearly all has passed
+  EXPECT_EQ(scene.sent_to(2), "a");
 }
 
 TEST(ShortTimeout, ButNotWhereARequestWouldHaveToWait) {
-  Scene s(settings(Idempotency::NonIdempotent));
-  s.list({s.worker("a")});
-  s.fill("a", 400);
-  s.request(3, 100, 300);
-  EXPECT_TRUE(s.sent_to(3).empty());
+  Scene scene(settings(Idempotency::NonIdempotent));
+  scene.list({scene.worker("a")});
+  scene.fill("a", 400);
+  scene.request(3, 100, 300);
+  EXPECT_TRUE(scene.sent_to(3).empty());
 }
 
 }  // namespace
--- a/tests/scheduling/retry_budget_test.cpp
+++ b/tests/scheduling/retry_budget_test.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 Settings budget(double free, double share, double window) {
-  Settings s = settings();
-  s.retry_budget_free = free;
-  s.retry_budget_ratio = share;
-  s.retry_budget_window = Duration(window);
-  s.max_attempts = 20;
-  return s;
+  Settings config = settings();
+  config.retry_budget_free = free;
+  config.retry_budget_ratio = share;
+  config.retry_budget_window = Duration(window);
+  config.max_attempts = 20;
+  return config;
 }
 
 std::vector<WorkerEntry> many(Scene& scene, const std::vector<std::string>& names) {
@@ -26,10 +26,10 @@
 // Sends `id`, ends each of its attempts by `outcome`, and counts the attempts beyond the first.
 int count_retries(Scene& scene, RequestId id, Outcome outcome) {
   scene.request(id, 10);
-  int extra = -1;
-  for (int attempt = 0; attempt < 20 && !scene.sent_to(id).empty(); ++attempt, ++extra)
+  int retries = -1;
+  for (int attempt = 0; attempt < 20 && !scene.sent_to(id).empty(); ++attempt, ++retries)
     scene.end(id, attempt, outcome);
-  return extra;
+  return retries;
 }
 
 const std::vector<std::string> kNames{"a", "b", "c", "d", "e", "f", "g", "h",
@@ -87,15 +87,15 @@
 
 TEST(RetryBudgetRule, RefusesInvalidSettings) {
   std::vector<Action> out;
-  for (auto spoil : {+[](Settings& s) { s.retry_budget_window.reset(); },
-                     +[](Settings& s) { s.retry_budget_free = -1; },
-                     +[](Settings& s) { s.retry_budget_ratio = NAN; },
-                     +[](Settings& s) {
-                       s.retry_budget_window = Duration(INFINITY);
+  for (auto spoil : {+[](Settings& config) { config.retry_budget_window.reset(); },
+                     +[](Settings& config) { config.retry_budget_free = -1; },
+                     +[](Settings& config) { config.retry_budget_ratio = NAN; },
+                     +[](Settings& config) {
+                       config.retry_budget_window = Duration(INFINITY);
                      }}) {
-    Settings s = budget(1, 0.1, 1000);
-    spoil(s);
-    EXPECT_THROW(Scheduler(s, Time{}, out), std::invalid_argument);
+    Settings config = budget(1, 0.1, 1000);
+    spoil(config);
+    EXPECT_THROW(Scheduler(config, Time{}, out), std::invalid_argument);
   }
 }
 
--- a/tests/scheduling/scheduler_test.cpp
+++ b/tests/scheduling/scheduler_test.cpp
@@ -15,85 +15,85 @@
   return out;
 }
 
-std::vector<WorkerEntry> entries(Scene& s, const std::vector<std::string>& ids, int zones = 1) {
+std::vector<WorkerEntry> entries(Scene& scene, const std::vector<std::string>& ids, int zones = 1) {
   std::vector<WorkerEntry> out;
   for (std::size_t i = 0; i < ids.size(); ++i)
-    out.push_back(s.worker(ids[i], static_cast<int>(i) % zones));
+    out.push_back(scene.worker(ids[i], static_cast<int>(i) % zones));
   return out;
 }
 
 TEST(Settings, InvalidOnesAreRefusedAtConstruction) {
   std::vector<Action> out;
   auto rejects = [&](auto change) {
-    Settings s = settings();
-    change(s);
-    EXPECT_THROW(Scheduler(s, Time{}, out), std::invalid_argument);
+    Settings config = settings();
+    change(config);
+    EXPECT_THROW(Scheduler(config, Time{}, out), std::invalid_argument);
   };
-  rejects([](Settings& s) { s.classes.clear(); });
-  rejects([](Settings& s) { s.dispatchers = 0; });
-  rejects([](Settings& s) { s.index = 1; });
-  rejects([](Settings& s) { s.tick = Duration(-1); });
-  rejects([](Settings& s) { s.classes[0].deadline = Duration(-1); });
-  rejects([](Settings& s) { s.slow_start_initial_fraction = 0; });
+  rejects([](Settings& config) { config.classes.clear(); });
+  rejects([](Settings& config) { config.dispatchers = 0; });
+  rejects([](Settings& config) { config.index = 1; });
+  rejects([](Settings& config) { config.tick = Duration(-1); });
+  rejects([](Settings& config) { config.classes[0].deadline = Duration(-1); });
+  rejects([](Settings& config) { config.slow_start_initial_fraction = 0; });
 }
 
 TEST(Pools, HalfTheCapacityOfEachZoneIsShort) {
-  Scene s(settings());
+  Scene scene(settings());
   auto ids = names(16);
-  s.list(entries(s, ids, 2));
+  scene.list(entries(scene, ids, 2));
   int shorts[2] = {};
   for (std::size_t i = 0; i < ids.size(); ++i)
-    shorts[i % 2] += s.scheduler_.in_short_pool(ids[i]);
+    shorts[i % 2] += scene.scheduler_.in_short_pool(ids[i]);
   EXPECT_EQ(shorts[0], 4);
   EXPECT_EQ(shorts[1], 4);
 }
 
 TEST(Pools, OneWorkerComingOrGoingMovesAtMostOneOther) {
   for (int gone = 0; gone < 12; ++gone) {
-    Scene s(settings());
+    Scene scene(settings());
     auto ids = names(12);
-    s.list(entries(s, ids));
+    scene.list(entries(scene, ids));
     std::vector<bool> before;
     for (auto& id : ids)
-      before.push_back(s.scheduler_.in_short_pool(id));
-    s.list({s.worker(ids[gone], 0, 0, Readiness::Removed), s.worker("10.9.9.9:7000")},
-           EndpointUpdateKind::Delta);
+      before.push_back(scene.scheduler_.in_short_pool(id));
+    scene.list({scene.worker(ids[gone], 0, 0, Readiness::Removed), scene.worker("10.9.9.9:7000")},
+               EndpointUpdateKind::Delta);
     int moved = 0;
     for (int i = 0; i < 12; ++i)
-      moved += i != gone && s.scheduler_.in_short_pool(ids[i]) != before[i];
+      moved += i != gone && scene.scheduler_.in_short_pool(ids[i]) != before[i];
     EXPECT_LE(moved, 1) << gone;
   }
 }
 
 TEST(Selection, ShortAndLongRequestsGoToTheirPools) {
-  Scene s(settings());
+  Scene scene(settings());
   auto ids = names(8);
-  s.list(entries(s, ids));
+  scene.list(entries(scene, ids));
   RequestId id = 0;
-  for (int i = 0; i < 200; ++i) {  // fills the histogram; every job ends at once
-    s.request(++id, i % 10 == 0 ? 1000 : 10);
-    ASSERT_FALSE(s.sent_to(id).empty());
-    s.end(id, 0, Outcome::Success, true);
-    s.pass(50);
+  for (int i = 0; i < 200; ++i) {  // fills the histogram; every request ends at once
+    scene.request(++id, i % 10 == 0 ? 1000 : 10);
+    ASSERT_FALSE(scene.sent_to(id).empty());
+    scene.end(id, 0, Outcome::Success, true);
+    scene.pass(50);
   }
-  ASSERT_GT(s.scheduler_.cutoff_ms(), 10);
-  ASSERT_LT(s.scheduler_.cutoff_ms(), 1000);
-  s.request(++id, 10);
-  EXPECT_TRUE(s.scheduler_.in_short_pool(s.sent_to(id)));
-  s.request(++id, 1000);
-  EXPECT_FALSE(s.scheduler_.in_short_pool(s.sent_to(id)));
+  ASSERT_GT(scene.scheduler_.cutoff_ms(), 10);
+  ASSERT_LT(scene.scheduler_.cutoff_ms(), 1000);
+  scene.request(++id, 10);
+  EXPECT_TRUE(scene.scheduler_.in_short_pool(scene.sent_to(id)));
+  scene.request(++id, 1000);
+  EXPECT_FALSE(scene.scheduler_.in_short_pool(scene.sent_to(id)));
 }
 
 TEST(Selection, LeastOwnOutstandingWorkInsideThePool) {
-  Scene s(settings());
-  s.list({s.worker("a"), s.worker("b"), s.worker("c"), s.worker("d")});
+  Scene scene(settings());
+  scene.list({scene.worker("a"), scene.worker("b"), scene.worker("c"), scene.worker("d")});
   std::map<RequestId, std::string> to;
   for (RequestId id = 1; id <= 4; ++id) {
     if (id == 3)
-      s.end(2, 0, Outcome::Success, true);  // its worker has the least work again
-    s.request(id, 100);
-    to[id] = s.sent_to(id);
-    EXPECT_FALSE(s.scheduler_.in_short_pool(to[id])) << "jobs of one size are all long";
+      scene.end(2, 0, Outcome::Success, true);  // its worker has the least work again
+    scene.request(id, 100);
+    to[id] = scene.sent_to(id);
+    EXPECT_FALSE(scene.scheduler_.in_short_pool(to[id])) << "requests of one size are all long";
   }
   EXPECT_NE(to[1], to[2]);
   EXPECT_EQ(to[3], to[2]);
@@ -104,57 +104,58 @@
   Settings set = settings();
   set.classes[0].kind = 1;
   set.reports = LoadReportMode::Inline;
-  Scene s(set);
-  WorkerEntry other = s.worker("a");
-  WorkerEntry tied = s.worker("b");
+  Scene scene(set);
+  WorkerEntry other = scene.worker("a");
+  WorkerEntry tied = scene.worker("b");
   tied.kind = 1;
-  s.list({other, tied});
+  scene.list({other, tied});
   for (RequestId id = 1; id <= 2; ++id) {
-    s.request(id, 100);
-    EXPECT_EQ(s.sent_to(id), "b");
+    scene.request(id, 100);
+    EXPECT_EQ(scene.sent_to(id), "b");
   }
   LoadReport report;
   report.free_slots = 1;
-  s.end(1, 0, Outcome::Success, true, report);
-  s.end(2, 0, Outcome::Success, true, report);
-  s.request(3, 100, 10000, 4);
-  EXPECT_TRUE(s.sent_to(3).empty()) << "four slots do not fit on a worker that showed two at most";
+  scene.end(1, 0, Outcome::Success, true, report);
+  scene.end(2, 0, Outcome::Success, true, report);
+  scene.request(3, 100, 10000, 4);
+  EXPECT_TRUE(scene.sent_to(3).empty())
+      << "four slots do not fit on a worker that showed two at most";
 }
 
 TEST(Pending, ARequestWaitsWhileNoWorkerCanStartItSoon) {
-  Scene s(settings());
-  s.list({s.worker("a")});
-  ASSERT_NO_FATAL_FAILURE(s.fill("a", 400));
-  s.request(3, 100);
-  EXPECT_TRUE(s.sent_to(3).empty());
-  s.end(1, 0, Outcome::Success, true);
-  EXPECT_EQ(s.sent_to(3), "a");
+  Scene scene(settings());
+  scene.list({scene.worker("a")});
+  ASSERT_NO_FATAL_FAILURE(scene.fill("a", 400));
+  scene.request(3, 100);
+  EXPECT_TRUE(scene.sent_to(3).empty());
+  scene.end(1, 0, Outcome::Success, true);
+  EXPECT_EQ(scene.sent_to(3), "a");
 }
 
 TEST(Pending, WhatCanNoLongerBeInTimeIsRejectedEarly) {
-  Scene s(settings(Idempotency::NonIdempotent));
-  s.list({s.worker("a")});
-  ASSERT_NO_FATAL_FAILURE(s.fill("a", 5000));
-  s.request(3, 100);  // wanted within 500 ms
-  s.pass(600);
-  EXPECT_TRUE(s.answered(3, ActionKind::Reject));
+  Scene scene(settings(Idempotency::NonIdempotent));
+  scene.list({scene.worker("a")});
+  ASSERT_NO_FATAL_FAILURE(scene.fill("a", 5000));
+  scene.request(3, 100);  // wanted within 500 ms
+  scene.pass(600);
+  EXPECT_TRUE(scene.answered(3, ActionKind::Reject));
 }
 
 TEST(Pending, LateRequestsStayWhereLateAnswersHaveAWeight) {
   Settings set = settings(Idempotency::NonIdempotent);
   set.classes[0].late_weight = 0.5;
-  Scene s(set);
-  s.list({s.worker("a")});
-  ASSERT_NO_FATAL_FAILURE(s.fill("a", 5000));
-  s.request(3, 100);
-  s.pass(1000);
-  EXPECT_FALSE(s.answered(3, ActionKind::Reject));
-  s.end(1, 0, Outcome::Success, true);
-  EXPECT_EQ(s.sent_to(3), "a");
-}
-
-// Guards the worth of a day: booked jobs worth ten of the others were held behind them until nobody
-// waited.
+  Scene scene(set);
+  scene.list({scene.worker("a")});
+  ASSERT_NO_FATAL_FAILURE(scene.fill("a", 5000));
+  scene.request(3, 100);
+  scene.pass(1000);
+  EXPECT_FALSE(scene.answered(3, ActionKind::Reject));
+  scene.end(1, 0, Outcome::Success, true);
+  EXPECT_EQ(scene.sent_to(3), "a");
+}
+
+// Guards the priority weights: booked requests weighted ten of the others were pending behind them
+// until nobody waited.
 TEST(Pending, TheHighestWeightForItsWorkGoesFirstAndLateOnesByTheRestOfTheirWeight) {
   Settings set = settings(Idempotency::NonIdempotent);
   set.classes.push_back(set.classes[0]);
@@ -162,146 +163,147 @@
   set.classes[1].late_weight = 0.3;
   set.classes[1].priority_weight = 10;
   set.classes[1].latency_objective = Duration(800);
-  Scene s(set);
-  s.list({s.worker("a")});
-  ASSERT_NO_FATAL_FAILURE(s.fill("a", 5000));
-  auto hold = [&](RequestId id, std::size_t job_class) {
-    s.actions.clear();
+  Scene scene(set);
+  scene.list({scene.worker("a")});
+  ASSERT_NO_FATAL_FAILURE(scene.fill("a", 5000));
+  auto enqueue = [&](RequestId id, std::size_t job_class) {
+    scene.actions.clear();
     Request r{
         .id = id, .job_class = job_class, .timeout = Duration(10000), .cost_hint = Duration(100)};
-    s.scheduler_.on_request(s.now, r, s.actions);
-    ASSERT_TRUE(s.sent_to(id).empty());
+    scene.scheduler_.on_request(scene.now, r, scene.actions);
+    ASSERT_TRUE(scene.sent_to(id).empty());
   };
-  hold(3, 1);
-  s.pass(1500);  // late now: worth 3 still
-  hold(4, 0);    // worth 1, and has least time left
-  hold(5, 1);    // worth 10
+  enqueue(3, 1);
+  scene.pass(1500);  // late now: weight 3 still
+  enqueue(4, 0);     // weight 1, and has least time left
+  enqueue(5, 1);     // weight 10
   for (RequestId first : {5, 3, 4}) {
-    s.end(first == 5 ? 1 : first == 3 ? 5 : 3, 0, Outcome::Success, true);
-    EXPECT_EQ(s.sent_to(first), "a");
+    scene.end(first == 5 ? 1 : first == 3 ? 5 : 3, 0, Outcome::Success, true);
+    EXPECT_EQ(scene.sent_to(first), "a");
   }
 }
 
 TEST(Selection, AFreeSlotOfTheOtherPoolIsPreferredToAQueueInTheOwn) {
-  Scene s(settings());
-  s.list({s.worker("a"), s.worker("b")});
+  Scene scene(settings());
+  scene.list({scene.worker("a"), scene.worker("b")});
   std::map<std::string, int> at;
   for (RequestId id = 1; id <= 4;
-       ++id) {  // jobs of one size: one pool's; the queue would cost 0.2 of the slack
-    s.request(id, 100);
-    ++at[s.sent_to(id)];
+       ++id) {  // requests of one size: one pool's; the queue would cost 0.2 of the slack
+    scene.request(id, 100);
+    ++at[scene.sent_to(id)];
   }
   EXPECT_EQ(at["a"], 2);
   EXPECT_EQ(at["b"], 2);
 }
 
-// Where no second copy may be sent, a job in a queue is lost to whatever stands before it.
+// Where no hedge may be sent, a request in a queue is lost to whatever stands before it.
 TEST(Selection, AQueueIsJoinedOnlyWhereAHedgeMayHelp) {
-  for (bool copies : {true, false}) {
+  for (bool hedges : {true, false}) {
     Settings set = settings();
-    set.hedging_allowed = copies;
-    Scene s(set);
-    s.list({s.worker("a")});
-    ASSERT_NO_FATAL_FAILURE(s.fill("a", 100));
-    s.pass(60);
-    s.request(3, 400);
-    EXPECT_EQ(s.sent_to(3), copies ? "a" : "");
-    s.end(1, 0, Outcome::Success, true);
-    if (!copies) {
-      EXPECT_EQ(s.sent_to(3), "a");
+    set.hedging_allowed = hedges;
+    Scene scene(set);
+    scene.list({scene.worker("a")});
+    ASSERT_NO_FATAL_FAILURE(scene.fill("a", 100));
+    scene.pass(60);
+    scene.request(3, 400);
+    EXPECT_EQ(scene.sent_to(3), hedges ? "a" : "");
+    scene.end(1, 0, Outcome::Success, true);
+    if (!hedges) {
+      EXPECT_EQ(scene.sent_to(3), "a");
     }
   }
 }
 
 TEST(Pending, QueuedRequestsThatCanOnlyBeLateAreAbandonedAndCancelled) {  // incident ic10efd
-  Scene s(settings(Idempotency::NonIdempotent));
-  s.list({s.worker("a")});
-  s.request(1, 100);
-  ASSERT_EQ(s.sent_to(1), "a");  // and no start note comes: others' jobs stand before it
-  s.pass(600);
-  EXPECT_TRUE(s.answered(1, ActionKind::Fail));
-  EXPECT_TRUE(s.answered(1, ActionKind::Cancel));
+  Scene scene(settings(Idempotency::NonIdempotent));
+  scene.list({scene.worker("a")});
+  scene.request(1, 100);
+  ASSERT_EQ(scene.sent_to(1), "a");  // and no start note comes: others' requests stand before it
+  scene.pass(600);
+  EXPECT_TRUE(scene.answered(1, ActionKind::Fail));
+  EXPECT_TRUE(scene.answered(1, ActionKind::Cancel));
 }
 
 TEST(Pending, RunningRequestsAreNotCancelled) {
-  Scene s(settings(Idempotency::NonIdempotent));
-  s.list({s.worker("a")});
-  s.request(1, 100);
-  ASSERT_EQ(s.sent_to(1), "a");
-  s.started(1);
-  s.pass(3000);
-  EXPECT_FALSE(s.answered(1, ActionKind::Fail));
+  Scene scene(settings(Idempotency::NonIdempotent));
+  scene.list({scene.worker("a")});
+  scene.request(1, 100);
+  ASSERT_EQ(scene.sent_to(1), "a");
+  scene.started(1);
+  scene.pass(3000);
+  EXPECT_FALSE(scene.answered(1, ActionKind::Fail));
 }
 
 TEST(ExternalLoad, AFullWorkerIsNotTriedAgainAtOnce) {  // incident ief4a90
-  Scene s(settings());
-  s.list({s.worker("a")});
-  s.request(1, 100);
-  ASSERT_EQ(s.sent_to(1), "a");
-  s.end(1, 0, Outcome::Rejected);
-  EXPECT_TRUE(s.sent_to(1).empty());
-  s.pass(20);
-  EXPECT_TRUE(s.sent_to(1).empty());
-  s.pass(400);
-  EXPECT_EQ(s.sent_to(1), "a");
+  Scene scene(settings());
+  scene.list({scene.worker("a")});
+  scene.request(1, 100);
+  ASSERT_EQ(scene.sent_to(1), "a");
+  scene.end(1, 0, Outcome::Rejected);
+  EXPECT_TRUE(scene.sent_to(1).empty());
+  scene.pass(20);
+  EXPECT_TRUE(scene.sent_to(1).empty());
+  scene.pass(400);
+  EXPECT_EQ(scene.sent_to(1), "a");
 }
 
 TEST(ExternalLoad, ReportsMoveRequestsAway) {
   Settings set = settings();
   set.reports = LoadReportMode::Inline;
-  Scene s(set);
-  s.list({s.worker("a"), s.worker("b")});
+  Scene scene(set);
+  scene.list({scene.worker("a"), scene.worker("b")});
   LoadReport busy;
   LoadReport idle;
   busy.free_slots = 0;
   idle.free_slots = 2;
   for (RequestId id : {1, 2, 3, 4}) {
-    s.request(id, 50);
-    std::string w = s.sent_to(id);
-    s.started(id);
-    s.end(id, 0, Outcome::Success, true, w == "a" ? busy : idle);
+    scene.request(id, 50);
+    std::string w = scene.sent_to(id);
+    scene.started(id);
+    scene.end(id, 0, Outcome::Success, true, w == "a" ? busy : idle);
   }
   for (RequestId id : {5, 6}) {
-    s.request(id, 50);
-    EXPECT_EQ(s.sent_to(id), "b");
+    scene.request(id, 50);
+    EXPECT_EQ(scene.sent_to(id), "b");
   }
 }
 
 TEST(ExternalLoad, AReportWithAnAttemptEndDoesNotCountOwnEndedRequests) {  // incident ie12df0
   Settings set = settings();
   set.reports = LoadReportMode::Inline;
-  Scene s(set);
-  s.list({s.worker("a")});
-  ASSERT_NO_FATAL_FAILURE(s.fill("a", 50));
+  Scene scene(set);
+  scene.list({scene.worker("a")});
+  ASSERT_NO_FATAL_FAILURE(scene.fill("a", 50));
   LoadReport taken_while_both_ran;
   taken_while_both_ran.free_slots = 0;
-  s.end(1, 0, Outcome::Success, true, taken_while_both_ran);
-  s.end(2, 0, Outcome::Success, true, taken_while_both_ran);
-  s.request(3, 50);
-  EXPECT_EQ(s.sent_to(3), "a");
+  scene.end(1, 0, Outcome::Success, true, taken_while_both_ran);
+  scene.end(2, 0, Outcome::Success, true, taken_while_both_ran);
+  scene.request(3, 50);
+  EXPECT_EQ(scene.sent_to(3), "a");
 }
 
 TEST(Health, UnreachableWorkerGetsNoRequestsUntilARecoveryProbeSucceeds) {
   Settings set = settings(Idempotency::NonIdempotent);
   set.health_checks_allowed = true;
-  Scene s(set);
-  s.list({s.worker("a"), s.worker("b")});
-  s.request(1, 10);
-  std::string first = s.sent_to(1);
-  s.end(1, 0, Outcome::ConnectFailed);
-  EXPECT_NE(s.sent_to(1), first);
-  ASSERT_EQ(s.of(ActionKind::HealthCheck).size(),
+  Scene scene(set);
+  scene.list({scene.worker("a"), scene.worker("b")});
+  scene.request(1, 10);
+  std::string first = scene.sent_to(1);
+  scene.end(1, 0, Outcome::ConnectFailed);
+  EXPECT_NE(scene.sent_to(1), first);
+  ASSERT_EQ(scene.of(ActionKind::HealthCheck).size(),
             1U);  // at once: it may have been the connection alone
-  s.actions.clear();
-  s.scheduler_.on_health_check_result(s.now, first, Outcome::ConnectFailed, {}, s.actions);
+  scene.actions.clear();
+  scene.scheduler_.on_health_check_result(scene.now, first, Outcome::ConnectFailed, {},
+                                          scene.actions);
   for (RequestId id = 2; id < 6; ++id) {
-    s.request(id, 10);
-    EXPECT_NE(s.sent_to(id), first);
-    s.end(id, 0, Outcome::Success, true);
+    scene.request(id, 10);
+    EXPECT_NE(scene.sent_to(id), first);
+    scene.end(id, 0, Outcome::Success, true);
   }
-  s.pass(1100);
-  ASSERT_EQ(s.of(ActionKind::HealthCheck).size(), 1U);
-  EXPECT_EQ(s.of(ActionKind::HealthCheck)[0].worker, first);
+  scene.pass(1100);
+  ASSERT_EQ(scene.of(ActionKind::HealthCheck).size(), 1U);
+  EXPECT_EQ(scene.of(ActionKind::HealthCheck)[0].worker, first);
 }
 
 // Guards the other tenants from a burst of one: what is beyond its share takes only what nobody
@@ -310,185 +312,186 @@
   Settings set = settings();
   set.tenant_quotas = {2, 2};
   set.over_quota_weight = 0.05;
-  Scene s(set);
-  s.list({s.worker("a")});
+  Scene scene(set);
+  scene.list({scene.worker("a")});
   for (RequestId id = 1; id <= 4; ++id) {  // its share of two seconds at once
-    s.request(id, 10);
-    ASSERT_EQ(s.sent_to(id), "a");
-    s.end(id, 0, Outcome::Success, true);
+    scene.request(id, 10);
+    ASSERT_EQ(scene.sent_to(id), "a");
+    scene.end(id, 0, Outcome::Success, true);
   }
-  s.request(5, 10);
-  EXPECT_EQ(s.sent_to(5), "a");  // both slots are free
-  s.request(6, 10);
-  EXPECT_TRUE(s.sent_to(6).empty());
-  s.request(7, 10, 10000, 1, 1);
-  EXPECT_EQ(s.sent_to(7), "a");
-  s.end(5, 0, Outcome::Success, true);
-  EXPECT_TRUE(s.sent_to(6).empty());
-  s.end(7, 0, Outcome::Success, true);
-  EXPECT_EQ(s.sent_to(6), "a");
-  s.pass(1000);  // the share fills again
-  s.request(8, 10);
-  EXPECT_EQ(s.sent_to(8), "a");
+  scene.request(5, 10);
+  EXPECT_EQ(scene.sent_to(5), "a");  // both slots are free
+  scene.request(6, 10);
+  EXPECT_TRUE(scene.sent_to(6).empty());
+  scene.request(7, 10, 10000, 1, 1);
+  EXPECT_EQ(scene.sent_to(7), "a");
+  scene.end(5, 0, Outcome::Success, true);
+  EXPECT_TRUE(scene.sent_to(6).empty());
+  scene.end(7, 0, Outcome::Success, true);
+  EXPECT_EQ(scene.sent_to(6), "a");
+  scene.pass(1000);  // the share fills again
+  scene.request(8, 10);
+  EXPECT_EQ(scene.sent_to(8), "a");
 }
 
 // Guards clients that move here while another dispatcher restarts: all tenants send more then,
 // which is no burst.
 TEST(TenantQuotaRule, FollowsTheOtherTenantsWhenClientsMoveHere) {
-  auto held =
-      [](bool all_tenants) {  // jobs that had to wait when traffic became three times as much
+  auto count_pending =
+      [](bool all_tenants) {  // requests that had to wait when traffic became three times as much
         Settings set = settings();
         set.tenant_quotas = {2, 2, 2};
         set.over_quota_weight = 0.05;
         set.dispatchers = 2;
-        Scene s(set);
-        s.list({s.worker("a")});
-        s.request(1, 100000, 200000);  // keeps one of the two slots
-        EXPECT_EQ(s.sent_to(1), "a");
-        s.started(1);
+        Scene scene(set);
+        scene.list({scene.worker("a")});
+        scene.request(1, 100000, 200000);  // keeps one of the two slots
+        EXPECT_EQ(scene.sent_to(1), "a");
+        scene.started(1);
         int waiting = 0;
         RequestId id = 1;
         for (int step = 0; step < 240;
-             ++step, s.now += Duration(100)) {  // each tenant once a second, its share here
+             ++step, scene.now += Duration(100)) {  // each tenant once a second, its share here
           bool more = step >= 120;
           for (std::size_t tenant = 0; tenant < 3; ++tenant) {
             bool bursts = more && (all_tenants || tenant == 0);
             if ((step + 3 * static_cast<int>(tenant)) % (bursts ? 3 : 10) != 0)
               continue;
-            s.request(++id, 10, 50, 1, tenant);
-            bool sent = !s.sent_to(id).empty();
+            scene.request(++id, 10, 50, 1, tenant);
+            bool sent = !scene.sent_to(id).empty();
             waiting += step >= 180 && !sent;
             if (sent) {
-              s.end(id, 0, Outcome::Success, true);
+              scene.end(id, 0, Outcome::Success, true);
             } else {
-              s.scheduler_.on_client_disconnected(s.now, id, s.actions);
+              scene.scheduler_.on_client_disconnected(scene.now, id, scene.actions);
             }
           }
         }
         return waiting;
       };
-  EXPECT_LE(held(true), 6);
-  EXPECT_GE(held(false), 8);
+  EXPECT_LE(count_pending(true), 6);
+  EXPECT_GE(count_pending(false), 8);
 }
 
-// Guards heavy jobs, which are worth as much more: one must not wait out its time because light
-// ones came before it.
+// Guards heavy requests, which have as much more weight: one must not wait out its time because
+// light ones came before it.
 TEST(TenantQuotaRule, AHeavyRequestMayBorrowFromItsTenant) {
   Settings set = settings();
   set.tenant_quotas = {2, 2};
   set.over_quota_weight = 0.05;
-  Scene s(set);
-  s.list({s.worker("a")});
+  Scene scene(set);
+  scene.list({scene.worker("a")});
   for (RequestId id = 1; id <= 4; ++id) {  // its share of two seconds at once
-    s.request(id, 10);
-    ASSERT_EQ(s.sent_to(id), "a");
+    scene.request(id, 10);
+    ASSERT_EQ(scene.sent_to(id), "a");
     if (id > 1)
-      s.end(id, 0, Outcome::Success, true);
+      scene.end(id, 0, Outcome::Success, true);
   }
-  s.request(5, 10);
-  EXPECT_TRUE(s.sent_to(5).empty());  // job 1 keeps a slot
-  s.request(6, 5000, 60000);
-  EXPECT_EQ(s.sent_to(6), "a");
+  scene.request(5, 10);
+  EXPECT_TRUE(scene.sent_to(5).empty());  // request 1 keeps a slot
+  scene.request(6, 5000, 60000);
+  EXPECT_EQ(scene.sent_to(6), "a");
 }
 
 TEST(TenantQuotaRule, WithoutAQuotaThereIsNone) {
   Settings set = settings();
   set.tenant_quotas = {2, 2, 2, 0};
   set.over_quota_weight = 0.05;
-  Scene s(set);
-  s.list({s.worker("a")});
+  Scene scene(set);
+  scene.list({scene.worker("a")});
   for (RequestId id = 1; id <= 20; ++id) {
-    s.request(id, 10, 10000, 1, 3);
-    ASSERT_EQ(s.sent_to(id), "a");
+    scene.request(id, 10, 10000, 1, 3);
+    ASSERT_EQ(scene.sent_to(id), "a");
     if (id > 1)
-      s.end(id, 0, Outcome::Success, true);  // job 1 keeps a slot
+      scene.end(id, 0, Outcome::Success, true);  // request 1 keeps a slot
   }
 }
 
 // Guards healthy workers where connections are reset: they must not stand idle for a second each
-// time, nor count as cold; but one that breaks off job after job is not believed each time.
+// time, nor count as starting; but one that breaks off request after request is not believed each
+// time.
 TEST(Health, OneLostConnectionIsNotALostWorker) {
   Settings set = settings(Idempotency::NonIdempotent);
   set.health_checks_allowed = true;
-  Scene s(set);
-  s.list({s.worker("a")});
+  Scene scene(set);
+  scene.list({scene.worker("a")});
   auto lose = [&](RequestId id) {
-    s.request(id, 900);
-    ASSERT_EQ(s.sent_to(id), "a");
-    s.actions.clear();
-    s.end(id, 0, Outcome::ConnectionReset, true);
+    scene.request(id, 900);
+    ASSERT_EQ(scene.sent_to(id), "a");
+    scene.actions.clear();
+    scene.end(id, 0, Outcome::ConnectionReset, true);
   };
   lose(1);
-  ASSERT_EQ(s.of(ActionKind::HealthCheck).size(), 1U);
-  s.scheduler_.on_health_check_result(s.now, "a", Outcome::Success, {}, s.actions);
+  ASSERT_EQ(scene.of(ActionKind::HealthCheck).size(), 1U);
+  scene.scheduler_.on_health_check_result(scene.now, "a", Outcome::Success, {}, scene.actions);
   lose(2);
-  EXPECT_TRUE(s.of(ActionKind::HealthCheck).empty());
-  s.request(3, 900);
-  EXPECT_TRUE(s.sent_to(3).empty());
+  EXPECT_TRUE(scene.of(ActionKind::HealthCheck).empty());
+  scene.request(3, 900);
+  EXPECT_TRUE(scene.sent_to(3).empty());
 }
 
 TEST(Health, WaitingAloneDoesNotEjectAWorker) {  // incident i3eacf2
   Settings set = settings();
   set.health_checks_allowed = true;
   set.classes[0].latency_objective = Duration(9000);
-  Scene s(set);
-  s.list({s.worker("a")});
+  Scene scene(set);
+  scene.list({scene.worker("a")});
   for (RequestId id = 1; id <= 2; ++id)
-    s.request(id, 100);
-  s.pass(5000);
-  for (const Action& a : s.of(ActionKind::Log))
+    scene.request(id, 100);
+  scene.pass(5000);
+  for (const Action& a : scene.of(ActionKind::Log))
     EXPECT_EQ(a.text.find("taken as down"), std::string::npos);
 }
 
 TEST(Health, ASlowIdempotentRequestIsHedgedAndTheWaitingAttemptIsCancelled) {
-  Scene s(settings());
-  s.list({s.worker("a"), s.worker("b")});
-  s.request(1, 100);
-  std::string first = s.sent_to(1);
-  s.pass(100);
-  std::string second = s.sent_to(1);
+  Scene scene(settings());
+  scene.list({scene.worker("a"), scene.worker("b")});
+  scene.request(1, 100);
+  std::string first = scene.sent_to(1);
+  scene.pass(100);
+  std::string second = scene.sent_to(1);
   ASSERT_FALSE(second.empty());
   EXPECT_NE(first, second);
-  s.started(1, 1);
-  ASSERT_EQ(s.of(ActionKind::Cancel).size(), 1U);
-  EXPECT_EQ(s.of(ActionKind::Cancel)[0].attempt, 0);
+  scene.started(1, 1);
+  ASSERT_EQ(scene.of(ActionKind::Cancel).size(), 1U);
+  EXPECT_EQ(scene.of(ActionKind::Cancel)[0].attempt, 0);
 }
 
 TEST(Zones, OwnZoneFirstAndAnotherWhenItIsFull) {
-  Scene s(settings());
-  s.list({s.worker("near", 0), s.worker("far", 1)});
+  Scene scene(settings());
+  scene.list({scene.worker("near", 0), scene.worker("far", 1)});
   for (RequestId id : {1, 2}) {
-    s.request(id, 1000);
-    EXPECT_EQ(s.sent_to(id), "near");
-    s.started(id);
+    scene.request(id, 1000);
+    EXPECT_EQ(scene.sent_to(id), "near");
+    scene.started(id);
   }
-  s.request(3, 50);
-  EXPECT_EQ(s.sent_to(3), "far");
+  scene.request(3, 50);
+  EXPECT_EQ(scene.sent_to(3), "far");
 }
 
 TEST(Robustness, AbsurdNumbersAndUnknownIdsDoNothingBad) {
-  Scene s(settings());
-  s.list({s.worker("a")});
+  Scene scene(settings());
+  scene.list({scene.worker("a")});
   std::vector<double> hints = {0, -1, std::nan(""), 1e300, std::numeric_limits<double>::infinity()};
   RequestId id = 0;
   for (double cost_hint : hints) {
-    s.request(++id, cost_hint, 5000, -3);
-    EXPECT_EQ(s.sent_to(id), "a");
-    s.end(id, 0, Outcome::Success, true);
-    s.end(id, 0, Outcome::Success, true);  // a duplicate
+    scene.request(++id, cost_hint, 5000, -3);
+    EXPECT_EQ(scene.sent_to(id), "a");
+    scene.end(id, 0, Outcome::Success, true);
+    scene.end(id, 0, Outcome::Success, true);  // a duplicate
   }
-  s.actions.clear();
-  s.scheduler_.on_attempt_end(s.now, {99, 7, false, "nobody", Outcome::ConnectionReset, {}},
-                              s.actions);
-  s.scheduler_.on_job_event(s.now, 99, -1, "a", JobEventKind::Started, s.actions);
-  s.scheduler_.on_health_check_result(s.now, "nobody", Outcome::Success, {}, s.actions);
-  s.scheduler_.on_timer(s.now, s.actions);
-  EXPECT_TRUE(s.of(ActionKind::Send).empty() && s.of(ActionKind::Fail).empty() &&
-              s.of(ActionKind::Reject).empty());
-  EXPECT_EQ(s.scheduler_.open_requests(), 0U);
-}
-
-// What a worker's report says of errors, after two jobs that it served at once.
+  scene.actions.clear();
+  scene.scheduler_.on_attempt_end(scene.now, {99, 7, false, "nobody", Outcome::ConnectionReset, {}},
+                                  scene.actions);
+  scene.scheduler_.on_job_event(scene.now, 99, -1, "a", JobEventKind::Started, scene.actions);
+  scene.scheduler_.on_health_check_result(scene.now, "nobody", Outcome::Success, {}, scene.actions);
+  scene.scheduler_.on_timer(scene.now, scene.actions);
+  EXPECT_TRUE(scene.of(ActionKind::Send).empty() && scene.of(ActionKind::Fail).empty() &&
+              scene.of(ActionKind::Reject).empty());
+  EXPECT_EQ(scene.scheduler_.open_requests(), 0U);
+}
+
+// The error rate in a worker's report, after two requests that it served at once.
 LoadReport errors(double a_second) {
   LoadReport r;
   r.free_slots = 2;
@@ -497,37 +500,38 @@
 }
 
 TEST(Failing, AWorkerThatReportsManyErrorsGetsNothingForAWhile) {
-  Scene s(settings(Idempotency::NonIdempotent));
-  s.list(entries(s, {"a", "b"}));
-  s.request(1, 100);
-  std::string bad = s.sent_to(1);
+  Scene scene(settings(Idempotency::NonIdempotent));
+  scene.list(entries(scene, {"a", "b"}));
+  scene.request(1, 100);
+  std::string bad = scene.sent_to(1);
   std::string good = bad == "a" ? "b" : "a";
-  s.end(1, 0, Outcome::Success, true, errors(4));  // of some twenty that it could serve in a second
+  scene.end(1, 0, Outcome::Success, true,
+            errors(4));  // of some twenty that it could serve in a second
   for (RequestId id = 2; id < 4; ++id) {
-    s.request(id, 100);
-    ASSERT_EQ(s.sent_to(id), good);
-    s.started(id);
+    scene.request(id, 100);
+    ASSERT_EQ(scene.sent_to(id), good);
+    scene.started(id);
   }
-  s.request(4, 100);
-  EXPECT_NE(s.sent_to(4), bad) << "better queued than failed";
-  s.pass(2100);
-  s.request(5, 100);
-  EXPECT_EQ(s.sent_to(5), bad) << "and it gets another chance";
+  scene.request(4, 100);
+  EXPECT_NE(scene.sent_to(4), bad) << "better queued than failed";
+  scene.pass(2100);
+  scene.request(5, 100);
+  EXPECT_EQ(scene.sent_to(5), bad) << "and it gets another chance";
 }
 
 TEST(Failing, WhereAllFailAlikeEachStillGetsRequests) {
-  Scene s(settings(Idempotency::NonIdempotent));
-  s.list(entries(s, {"a", "b"}));
+  Scene scene(settings(Idempotency::NonIdempotent));
+  scene.list(entries(scene, {"a", "b"}));
   for (RequestId id = 1; id <= 60; ++id) {
-    s.request(id, 100);
-    if (s.sent_to(id).empty()) {
-      s.pass(2100);
+    scene.request(id, 100);
+    if (scene.sent_to(id).empty()) {
+      scene.pass(2100);
     } else {
-      s.end(id, 0, Outcome::Success, true, errors(10));
+      scene.end(id, 0, Outcome::Success, true, errors(10));
     }
   }
-  s.request(100, 100);
-  EXPECT_FALSE(s.sent_to(100).empty());
+  scene.request(100, 100);
+  EXPECT_FALSE(scene.sent_to(100).empty());
 }
 
 std::string one_run(std::uint64_t seed) {
@@ -535,25 +539,25 @@
   set.seed = seed;
   set.watch_required = true;
   set.poll_deadline = Duration(8000);
-  Scene s(set);
+  Scene scene(set);
   std::ostringstream all;
   auto write = [&] {
-    for (const Action& a : s.actions) {
+    for (const Action& a : scene.actions) {
       all << static_cast<int>(a.kind) << ' ' << a.id << ' ' << a.worker << ' '
           << a.at.time_since_epoch().count() << '\n';
     }
   };
-  s.list(entries(s, names(6), 2), EndpointUpdateKind::Cached);
-  s.list({}, EndpointUpdateKind::Failed);
+  scene.list(entries(scene, names(6), 2), EndpointUpdateKind::Cached);
+  scene.list({}, EndpointUpdateKind::Failed);
   write();
   for (RequestId id = 1; id <= 40; ++id) {
-    s.request(id * 7919, 10.0 + 13.0 * static_cast<double>(id % 7));
+    scene.request(id * 7919, 10.0 + 13.0 * static_cast<double>(id % 7));
     write();
-    if (!s.sent_to(id * 7919).empty() && id % 3 == 0) {
-      s.end(id * 7919, 0, Outcome::Success, true);
+    if (!scene.sent_to(id * 7919).empty() && id % 3 == 0) {
+      scene.end(id * 7919, 0, Outcome::Success, true);
       write();
     }
-    s.pass(20);
+    scene.pass(20);
     write();
   }
   return all.str();
@@ -588,87 +592,87 @@
 };
 
 TEST(ClassEjection, AWorkerThatFailsOneClassIsEjectedForThatClassAlone) {
-  TwoClasses s;
-  s.serve(1, Outcome::Success);
-  s.serve(0, Outcome::Failure);
-  EXPECT_FALSE(s.goes(0));
-  EXPECT_TRUE(s.goes(1));
+  TwoClasses scene;
+  scene.serve(1, Outcome::Success);
+  scene.serve(0, Outcome::Failure);
+  EXPECT_FALSE(scene.goes(0));
+  EXPECT_TRUE(scene.goes(1));
 }
 
 TEST(ClassEjection, LastsTwiceAsLongAfterASecondFailureAndEndsWithASuccess) {
-  TwoClasses s;
-  s.serve(0, Outcome::Failure);
-  s.pass(5001);
-  s.serve(0, Outcome::Failure);
-  s.pass(9000);
-  EXPECT_FALSE(s.goes(0));
-  s.pass(1001);  // the job held above goes now
-  ASSERT_EQ(s.sent_to(s.last), "a");
-  s.started(s.last);
-  s.end(s.last, 0, Outcome::Success, true);
-  s.serve(0, Outcome::Failure);
-  s.pass(5001);
-  EXPECT_TRUE(s.goes(0));
+  TwoClasses scene;
+  scene.serve(0, Outcome::Failure);
+  scene.pass(5001);
+  scene.serve(0, Outcome::Failure);
+  scene.pass(9000);
+  EXPECT_FALSE(scene.goes(0));
+  scene.pass(1001);  // the request pending above goes now
+  ASSERT_EQ(scene.sent_to(scene.last), "a");
+  scene.started(scene.last);
+  scene.end(scene.last, 0, Outcome::Success, true);
+  scene.serve(0, Outcome::Failure);
+  scene.pass(5001);
+  EXPECT_TRUE(scene.goes(0));
 }
 
 TEST(ClassEjection, ASingleFailureAmongSuccessesIsChance) {
-  TwoClasses s;
+  TwoClasses scene;
   for (int i = 0; i < 3; ++i)
-    s.serve(0, Outcome::Success);
-  s.serve(0, Outcome::Failure);
-  s.serve(0, Outcome::Failure);  // went at once; the second in a row is none
-  EXPECT_FALSE(s.goes(0));
+    scene.serve(0, Outcome::Success);
+  scene.serve(0, Outcome::Failure);
+  scene.serve(0, Outcome::Failure);  // went at once; the second in a row is none
+  EXPECT_FALSE(scene.goes(0));
 }
 
 TEST(ClassEjection,
-     IsNoAnswerToOverload) {  // full, withdrawn or late: the worker is busy, whatever the class
+     IsNoAnswerToOverload) {  // full, cancelled or late: the worker is busy, whatever the class
   for (Outcome outcome : {Outcome::Rejected, Outcome::Cancelled}) {
-    TwoClasses s;
-    ASSERT_TRUE(s.goes(0));
-    s.end(s.last, 0, outcome);
-    s.pass(1000);
-    bool retried = !s.sent_to(s.last).empty();
-    EXPECT_TRUE(retried || s.goes(0)) << "long before a shunned worker would be tried again";
+    TwoClasses scene;
+    ASSERT_TRUE(scene.goes(0));
+    scene.end(scene.last, 0, outcome);
+    scene.pass(1000);
+    bool retried = !scene.sent_to(scene.last).empty();
+    EXPECT_TRUE(retried || scene.goes(0)) << "long before a ejected worker would be tried again";
   }
 }
 
-// Where clients give no hints, the ends are all that tells what a job of a class costs: a guess
-// that stays at 100 ms has a fleet of 500 ms jobs refuse nearly all as hopeless.
+// Where clients give no hints, the ends are all that tells what a request of a class costs: a guess
+// that stays at 100 ms has a fleet of 500 ms requests refuse nearly all as hopeless.
 TEST(CostHints, WithoutThemAClassCostsWhatItsEndsHaveShown) {
   Settings set = settings();
   set.classes[0].latency_objective = Duration(300);
   set.classes[0].objective_work_factor = 1.75;
-  Scene s(set);
-  s.list({s.worker("a")});
+  Scene scene(set);
+  scene.list({scene.worker("a")});
   for (RequestId id = 10; id < 16; ++id) {
-    s.request(id, 0);
-    ASSERT_EQ(s.sent_to(id), "a");
-    s.started(id);
-    s.pass(500);
-    s.end(id, 0, Outcome::Success, true);
+    scene.request(id, 0);
+    ASSERT_EQ(scene.sent_to(id), "a");
+    scene.started(id);
+    scene.pass(500);
+    scene.end(id, 0, Outcome::Success, true);
   }
-  s.fill("a", 0);
-  s.pass(100);
-  s.request(3, 0);
-  EXPECT_EQ(s.sent_to(3), "");
-  s.pass(400);  // its limit is 300 + 1.75 * 500 ms away
-  EXPECT_FALSE(s.answered(3, ActionKind::Reject));
-  std::string went = s.sent_to(3);  // into the queue there, or
-  s.end(1, 0, Outcome::Success, true);
-  EXPECT_EQ(went + s.sent_to(3), "a");
+  scene.fill("a", 0);
+  scene.pass(100);
+  scene.request(3, 0);
+  EXPECT_EQ(scene.sent_to(3), "");
+  scene.pass(400);  // its limit is 300 + 1.75 * 500 ms away
+  EXPECT_FALSE(scene.answered(3, ActionKind::Reject));
+  std::string went = scene.sent_to(3);  // into the queue there, or
+  scene.end(1, 0, Outcome::Success, true);
+  EXPECT_EQ(went + scene.sent_to(3), "a");
 }
 
 TEST(CostHints, WithoutThemAWorkerThatWarmsUpGetsOneRequestOfAClassWithoutEnds) {
-  Scene s(settings());
-  WorkerEntry cold = s.worker("a");
-  cold.online_since = s.now;
-  s.list({cold});
+  Scene scene(settings());
+  WorkerEntry starting = scene.worker("a");
+  starting.online_since = scene.now;
+  scene.list({starting});
   int sent = 0;
   for (RequestId id = 1; id < 6; ++id) {
-    s.request(id, 0);
-    if (s.sent_to(id) == "a") {
+    scene.request(id, 0);
+    if (scene.sent_to(id) == "a") {
       ++sent;
-      s.started(id);
+      scene.started(id);
     }
   }
   EXPECT_EQ(sent, 1);
@@ -677,110 +681,110 @@
 // What a cancel does not stop would run for nobody, and its client come again: a jam that feeds
 // itself.
 TEST(CostHints, WithoutThemAQueuedRequestIsNotAbandonedBeforeItsClientTimesOut) {
-  Scene s(settings(Idempotency::NonIdempotent));
-  s.list({s.worker("a")});
-  s.request(1, 0);
-  ASSERT_EQ(s.sent_to(1), "a");
-  s.pass(9000);
-  EXPECT_FALSE(s.answered(1, ActionKind::Fail));
-  EXPECT_FALSE(s.answered(1, ActionKind::Cancel));
+  Scene scene(settings(Idempotency::NonIdempotent));
+  scene.list({scene.worker("a")});
+  scene.request(1, 0);
+  ASSERT_EQ(scene.sent_to(1), "a");
+  scene.pass(9000);
+  EXPECT_FALSE(scene.answered(1, ActionKind::Fail));
+  EXPECT_FALSE(scene.answered(1, ActionKind::Cancel));
 }
 
-// Few jobs a dispatcher, and nothing told of the workers: a class of one size must not fill one
+// Few requests a dispatcher, and nothing told of the workers: a class of one size must not fill one
 // pool alone.
 TEST(CostHints, WithoutThemASampledFleetUsesBothPools) {
   Settings set = settings();
   set.dispatchers = 100;
-  Scene s(set);
+  Scene scene(set);
   auto ids = names(40);
-  s.list(entries(s, ids));
+  scene.list(entries(scene, ids));
   int in_short = 0;
   for (RequestId id = 1; id <= 60; ++id) {
-    s.request(id, 0);
-    std::string worker = s.sent_to(id);
+    scene.request(id, 0);
+    std::string worker = scene.sent_to(id);
     ASSERT_FALSE(worker.empty());
-    in_short += s.scheduler_.in_short_pool(worker) ? 1 : 0;
-    s.started(id);
-    s.pass(100);
-    s.end(id, 0, Outcome::Success, true);
+    in_short += scene.scheduler_.in_short_pool(worker) ? 1 : 0;
+    scene.started(id);
+    scene.pass(100);
+    scene.end(id, 0, Outcome::Success, true);
   }
   EXPECT_GT(in_short, 15);
   EXPECT_LT(in_short, 45);
 }
 
-// Copies of all that waits double the load of a full fleet, where cancels stop nothing.
+// Hedges of all that waits double the load of a full fleet, where cancels stop nothing.
 TEST(Hedges, AreAtMostATenthOfTheRecentRequestsAndOne) {
-  Scene s(settings());
+  Scene scene(settings());
   auto ids = names(30);
-  s.list(entries(s, ids));
-  int copies = 0;
+  scene.list(entries(scene, ids));
+  int hedges = 0;
   for (RequestId id = 1; id <= 40; ++id) {
-    s.request(id, 100);
-    s.pass(200);  // no start note comes
-    for (const Action& a : s.of(ActionKind::Send))
-      copies += a.id <= id ? 1 : 0;
+    scene.request(id, 100);
+    scene.pass(200);  // no start note comes
+    for (const Action& a : scene.of(ActionKind::Send))
+      hedges += a.id <= id ? 1 : 0;
   }
-  EXPECT_GE(copies, 1);
-  EXPECT_LE(copies, 1 + 40 / 10 + 1);
+  EXPECT_GE(hedges, 1);
+  EXPECT_LE(hedges, 1 + 40 / 10 + 1);
 }
 
-// A copy pays where another worker could start it. Where half of the jobs wait for their start and
-// no report tells who has room, the copy would wait too, or take a slot from a job of somebody
-// else: they fed the jam of a calm day with a burst. Reports tell, and a copy among them helps who
-// waits at a worker that is stuck.
+// A hedge pays where another worker could start it. Where half of the requests wait for their start
+// and no report tells who has room, the hedge would wait too, or take a slot from a request of
+// another dispatcher: they prolonged the overload of a calm day with a burst. Reports tell, and a
+// hedge among them helps who waits at a worker that is stuck.
 TEST(Hedges, AreNoneWithoutReportsWhereHalfOfTheRecentRequestsHaveWaited) {
   for (auto [prompt, reports] :
        {std::pair(true, LoadReportMode::Off), std::pair(false, LoadReportMode::Off),
         std::pair(false, LoadReportMode::Inline)}) {
     Settings set = settings();
     set.reports = reports;
-    Scene s(set);
+    Scene scene(set);
     auto ids = names(30);
-    s.list(entries(s, ids));
+    scene.list(entries(scene, ids));
     RequestId id = 1;
     for (; id <= 60; ++id) {
-      s.request(id, 100);
-      ASSERT_FALSE(s.sent_to(id).empty());
-      s.pass(prompt ? 5 : 100);
-      s.started(id);
-      s.pass(100);
-      s.end(id, 0, Outcome::Success, true);
+      scene.request(id, 100);
+      ASSERT_FALSE(scene.sent_to(id).empty());
+      scene.pass(prompt ? 5 : 100);
+      scene.started(id);
+      scene.pass(100);
+      scene.end(id, 0, Outcome::Success, true);
     }
-    int copies = 0;
+    int hedges = 0;
     for (; id <= 100; ++id) {
-      s.request(id, 100);
-      s.pass(200);  // no start note comes
-      for (const Action& a : s.of(ActionKind::Send))
-        copies += a.id <= id ? 1 : 0;
+      scene.request(id, 100);
+      scene.pass(200);  // no start note comes
+      for (const Action& a : scene.of(ActionKind::Send))
+        hedges += a.id <= id ? 1 : 0;
     }
     if (prompt) {
-      EXPECT_GE(copies, 4);
+      EXPECT_GE(hedges, 4);
     } else if (reports == LoadReportMode::Off) {
-      EXPECT_LE(copies, 1);
+      EXPECT_LE(hedges, 1);
     } else {
-      EXPECT_GE(copies, 3);
+      EXPECT_GE(hedges, 3);
     }
   }
 }
 
-// Where no report tells it, a queue that a start note has shown does not go away within a job's
+// Where no report tells it, a queue that a start note has shown does not go away within a request's
 // run.
 TEST(ExternalLoad, IsRememberedLongerWithoutReports) {
   for (bool reports : {true, false}) {
     Settings set = settings();
     set.hedging_allowed = false;  // no queue is joined
     set.reports = reports ? LoadReportMode::Inline : LoadReportMode::Off;
-    Scene s(set);
-    s.list({s.worker("a")});
-    s.request(1, 100);
-    ASSERT_EQ(s.sent_to(1), "a");
-    s.pass(400);
-    s.started(1);  // it stood in a queue of some jobs
-    s.pass(100);
-    s.end(1, 0, Outcome::Success, true);
-    s.pass(1500);
-    s.request(2, 100);
-    EXPECT_EQ(s.sent_to(2), reports ? "a" : "");
+    Scene scene(set);
+    scene.list({scene.worker("a")});
+    scene.request(1, 100);
+    ASSERT_EQ(scene.sent_to(1), "a");
+    scene.pass(400);
+    scene.started(1);  // it stood in a queue of some requests
+    scene.pass(100);
+    scene.end(1, 0, Outcome::Success, true);
+    scene.pass(1500);
+    scene.request(2, 100);
+    EXPECT_EQ(scene.sent_to(2), reports ? "a" : "");
   }
 }
 
--- a/tests/scheduling/service_rules_test.cpp
+++ b/tests/scheduling/service_rules_test.cpp
@@ -8,52 +8,52 @@
 namespace {
 
 TEST(FinalAnswer, PendingRequestIsRejectedBeforeTheClientTimesOut) {
-  Scene s(settings(Idempotency::NonIdempotent));
-  s.list({});
-  s.request(1, 100, 800);
-  EXPECT_TRUE(s.sent_to(1).empty());
-  s.pass(799);
-  EXPECT_TRUE(s.answered(1, ActionKind::Reject));
-  EXPECT_EQ(s.scheduler_.open_requests(), 0U);
+  Scene scene(settings(Idempotency::NonIdempotent));
+  scene.list({});
+  scene.request(1, 100, 800);
+  EXPECT_TRUE(scene.sent_to(1).empty());
+  scene.pass(799);
+  EXPECT_TRUE(scene.answered(1, ActionKind::Reject));
+  EXPECT_EQ(scene.scheduler_.open_requests(), 0U);
 }
 
 TEST(FinalAnswer, RequestThatMayHaveRunFailsInsteadAndOnlyOnce) {
   Settings set = settings(Idempotency::NonIdempotent);
   set.cancellation_allowed = false;
-  Scene s(set);
-  s.list({s.worker("a")});
-  s.request(1, 100, 800);
-  ASSERT_EQ(s.sent_to(1), "a");
-  s.started(1);
-  s.pass(799);
-  EXPECT_EQ(s.of(ActionKind::Fail).size(), 1U);
-  EXPECT_TRUE(s.of(ActionKind::Reject).empty());
-  s.end(1, 0, Outcome::TimedOut, true);
-  EXPECT_TRUE(s.of(ActionKind::Fail).empty() && s.of(ActionKind::Send).empty());
-  s.pass(2000);
-  EXPECT_TRUE(s.of(ActionKind::Fail).empty() && s.of(ActionKind::Reject).empty());
+  Scene scene(set);
+  scene.list({scene.worker("a")});
+  scene.request(1, 100, 800);
+  ASSERT_EQ(scene.sent_to(1), "a");
+  scene.started(1);
+  scene.pass(799);
+  EXPECT_EQ(scene.of(ActionKind::Fail).size(), 1U);
+  EXPECT_TRUE(scene.of(ActionKind::Reject).empty());
+  scene.end(1, 0, Outcome::TimedOut, true);
+  EXPECT_TRUE(scene.of(ActionKind::Fail).empty() && scene.of(ActionKind::Send).empty());
+  scene.pass(2000);
+  EXPECT_TRUE(scene.of(ActionKind::Fail).empty() && scene.of(ActionKind::Reject).empty());
 }
 
 TEST(FinalAnswer, TimersAtFractionsOfAMillisecondAreNotLost) {  // found by the first score
-  Scene s(settings());
-  s.now += Duration(0.4);
-  s.list({});
-  s.request(1, 100, 500.3);
-  s.now += Duration(0.2);
-  s.pass(501);
-  EXPECT_TRUE(s.answered(1, ActionKind::Reject));
+  Scene scene(settings());
+  scene.now += Duration(0.4);
+  scene.list({});
+  scene.request(1, 100, 500.3);
+  scene.now += Duration(0.2);
+  scene.pass(501);
+  EXPECT_TRUE(scene.answered(1, ActionKind::Reject));
 }
 
 TEST(FinalAnswer, NothingIsSentForAnEndedRequest) {
-  Scene s(settings());
-  s.list({});
-  s.request(1, 100);
-  s.actions.clear();
-  s.scheduler_.on_client_disconnected(s.now, 1, s.actions);
-  s.scheduler_.on_client_disconnected(s.now, 1, s.actions);
-  s.list({s.worker("a")});
-  s.pass(11000);
-  EXPECT_TRUE(s.of(ActionKind::Send).empty() && s.of(ActionKind::Reject).empty());
+  Scene scene(settings());
+  scene.list({});
+  scene.request(1, 100);
+  scene.actions.clear();
+  scene.scheduler_.on_client_disconnected(scene.now, 1, scene.actions);
+  scene.scheduler_.on_client_disconnected(scene.now, 1, scene.actions);
+  scene.list({scene.worker("a")});
+  scene.pass(11000);
+  EXPECT_TRUE(scene.of(ActionKind::Send).empty() && scene.of(ActionKind::Reject).empty());
 }
 
 struct RetryCase {
@@ -69,16 +69,16 @@
 
 TEST_P(IdempotencyRules, RetriesOnlyWhereNothingCanRunTwice) {
   RetryCase p = GetParam();
-  Scene s(settings(p.idempotency, p.deduplication_scope));
-  s.list({s.worker("a")});
-  s.request(1, 100);
-  ASSERT_EQ(s.sent_to(1), "a");
-  s.list({s.worker("a", 0, 0, Readiness::Draining), s.worker("b", p.zone, p.cell)});
-  s.end(1, 0, p.outcome);
-  EXPECT_EQ(s.sent_to(1), p.retried ? "b" : "");
+  Scene scene(settings(p.idempotency, p.deduplication_scope));
+  scene.list({scene.worker("a")});
+  scene.request(1, 100);
+  ASSERT_EQ(scene.sent_to(1), "a");
+  scene.list({scene.worker("a", 0, 0, Readiness::Draining), scene.worker("b", p.zone, p.cell)});
+  scene.end(1, 0, p.outcome);
+  EXPECT_EQ(scene.sent_to(1), p.retried ? "b" : "");
   bool may_have_run = p.outcome != Outcome::Rejected && p.outcome != Outcome::ConnectFailed;
   if (!p.retried && may_have_run && p.idempotency != Idempotency::Idempotent) {
-    EXPECT_TRUE(s.of(ActionKind::Reject).empty()) << "a refusal would promise that nothing ran";
+    EXPECT_TRUE(scene.of(ActionKind::Reject).empty()) << "a refusal would promise that nothing ran";
   }
 }
 
@@ -113,85 +113,86 @@
   for (double waited : {4000.0, 5001.0}) {
     Settings set = settings(Idempotency::KeyedIdempotent, DeduplicationScope::All);
     set.classes[0].latency_objective = Duration(9000);
-    Scene s(set);
-    s.list({s.worker("a")});
-    s.request(1, 100);
-    ASSERT_EQ(s.sent_to(1), "a");
-    s.started(1);
-    s.pass(waited);
-    s.list({s.worker("a", 0, 0, Readiness::Draining), s.worker("b")});
-    s.end(1, 0, Outcome::ConnectionReset);
-    EXPECT_EQ(!s.sent_to(1).empty(), waited < 5000) << waited;
+    Scene scene(set);
+    scene.list({scene.worker("a")});
+    scene.request(1, 100);
+    ASSERT_EQ(scene.sent_to(1), "a");
+    scene.started(1);
+    scene.pass(waited);
+    scene.list({scene.worker("a", 0, 0, Readiness::Draining), scene.worker("b")});
+    scene.end(1, 0, Outcome::ConnectionReset);
+    EXPECT_EQ(!scene.sent_to(1).empty(), waited < 5000) << waited;
   }
 }
 
 TEST(IdempotencyRules, AttemptsStopAtTheAllowedNumber) {
   Settings set = settings(Idempotency::Idempotent);
   set.max_attempts = 2;
-  Scene s(set);
-  s.list({s.worker("a"), s.worker("b"), s.worker("c")});
-  s.request(1, 10);
-  ASSERT_FALSE(s.sent_to(1).empty());
-  s.end(1, 0, Outcome::ConnectFailed);
-  ASSERT_FALSE(s.sent_to(1).empty());
-  s.end(1, 1, Outcome::ConnectFailed);
-  EXPECT_TRUE(s.sent_to(1).empty());
-  EXPECT_TRUE(s.answered(1, ActionKind::Reject));
+  Scene scene(set);
+  scene.list({scene.worker("a"), scene.worker("b"), scene.worker("c")});
+  scene.request(1, 10);
+  ASSERT_FALSE(scene.sent_to(1).empty());
+  scene.end(1, 0, Outcome::ConnectFailed);
+  ASSERT_FALSE(scene.sent_to(1).empty());
+  scene.end(1, 1, Outcome::ConnectFailed);
+  EXPECT_TRUE(scene.sent_to(1).empty());
+  EXPECT_TRUE(scene.answered(1, ActionKind::Reject));
 }
 
 TEST(IdempotencyRules, OneAttemptAtATimeWhereHedgingIsNotAllowed) {
   Settings set = settings(Idempotency::Idempotent);
   set.hedging_allowed = false;
-  Scene s(set);
-  s.list({s.worker("a"), s.worker("b")});
-  s.request(1, 50);
-  ASSERT_FALSE(s.sent_to(1).empty());
-  s.pass(400);
-  EXPECT_TRUE(s.of(ActionKind::Send).empty());
+  Scene scene(set);
+  scene.list({scene.worker("a"), scene.worker("b")});
+  scene.request(1, 50);
+  ASSERT_FALSE(scene.sent_to(1).empty());
+  scene.pass(400);
+  EXPECT_TRUE(scene.of(ActionKind::Send).empty());
 }
 
 TEST(Drain, NothingNewOnceDraining) {
-  Scene s(settings());
-  s.list({s.worker("a")});
-  s.list({s.worker("a", 0, 0, Readiness::Draining)}, EndpointUpdateKind::Delta);
-  s.request(1, 10);
-  EXPECT_TRUE(s.sent_to(1).empty());
-  s.list({s.worker("b")}, EndpointUpdateKind::Delta);  // the held job goes to the newcomer
-  EXPECT_EQ(s.sent_to(1), "b");
-  s.list({s.worker("b", 0, 0, Readiness::Removed)}, EndpointUpdateKind::Delta);
-  s.request(2, 10);
-  EXPECT_TRUE(s.sent_to(2).empty());
+  Scene scene(settings());
+  scene.list({scene.worker("a")});
+  scene.list({scene.worker("a", 0, 0, Readiness::Draining)}, EndpointUpdateKind::Delta);
+  scene.request(1, 10);
+  EXPECT_TRUE(scene.sent_to(1).empty());
+  scene.list({scene.worker("b")},
+             EndpointUpdateKind::Delta);  // the pending request goes to the newcomer
+  EXPECT_EQ(scene.sent_to(1), "b");
+  scene.list({scene.worker("b", 0, 0, Readiness::Removed)}, EndpointUpdateKind::Delta);
+  scene.request(2, 10);
+  EXPECT_TRUE(scene.sent_to(2).empty());
 }
 
 TEST(Drain, ASnapshotRemovesWhatItDoesNotList) {
-  Scene s(settings());
-  s.list({s.worker("a")});
-  s.list({});
-  s.request(1, 10);
-  EXPECT_TRUE(s.sent_to(1).empty());
+  Scene scene(settings());
+  scene.list({scene.worker("a")});
+  scene.list({});
+  scene.request(1, 10);
+  EXPECT_TRUE(scene.sent_to(1).empty());
 }
 
 TEST(EndpointWatch, WatchesAtStartAndAgainAfterFailuresInTime) {
   Settings set = settings();
   set.watch_required = true;
   set.poll_deadline = Duration(8000);
-  Scene s(set);
-  s.list({s.worker("a")}, EndpointUpdateKind::Cached);
-  EXPECT_EQ(s.of(ActionKind::Watch).size(), 1U);
+  Scene scene(set);
+  scene.list({scene.worker("a")}, EndpointUpdateKind::Cached);
+  EXPECT_EQ(scene.of(ActionKind::Watch).size(), 1U);
   for (int i = 0; i < 8; ++i) {
-    s.list({}, EndpointUpdateKind::Failed);
-    EXPECT_TRUE(s.of(ActionKind::Watch).empty()) << "must back off first";
-    s.pass(2100);
-    EXPECT_EQ(s.of(ActionKind::Watch).size(), 1U) << i;
+    scene.list({}, EndpointUpdateKind::Failed);
+    EXPECT_TRUE(scene.of(ActionKind::Watch).empty()) << "must back off first";
+    scene.pass(2100);
+    EXPECT_EQ(scene.of(ActionKind::Watch).size(), 1U) << i;
   }
-  s.list({s.worker("a")}, EndpointUpdateKind::Snapshot);
-  s.pass(20000);
-  EXPECT_TRUE(s.of(ActionKind::Watch).empty());
+  scene.list({scene.worker("a")}, EndpointUpdateKind::Snapshot);
+  scene.pass(20000);
+  EXPECT_TRUE(scene.of(ActionKind::Watch).empty());
 }
 
 // A hundred dispatchers start together, and discovery fails every call. How many ask in each 100 ms
-// of 20 s?
-std::vector<int> asking_together(bool list_held) {
+// of 20 scene?
+std::vector<int> watching_together(bool list_cached) {
   std::vector<int> calls(200);
   for (int index = 0; index < 100; ++index) {
     Settings set = settings();
@@ -200,16 +201,17 @@
     set.dispatchers = 100;
     set.index = index;
     set.seed = 1000 + index;
-    Scene s(set);
-    s.list(std::vector<WorkerEntry>(list_held ? 1 : 0, s.worker("a")), EndpointUpdateKind::Cached);
-    bool asked = !s.of(ActionKind::Watch).empty();
+    Scene scene(set);
+    scene.list(std::vector<WorkerEntry>(list_cached ? 1 : 0, scene.worker("a")),
+               EndpointUpdateKind::Cached);
+    bool asked = !scene.of(ActionKind::Watch).empty();
     for (int& now : calls) {
       if (asked) {
         ++now;
-        s.list({}, EndpointUpdateKind::Failed);
+        scene.list({}, EndpointUpdateKind::Failed);
       }
-      s.pass(100);
-      asked = !s.of(ActionKind::Watch).empty();
+      scene.pass(100);
+      asked = !scene.of(ActionKind::Watch).empty();
     }
   }
   return calls;
@@ -218,19 +220,19 @@
 // Each asks again within 1.5 s, as a change counts as told 6 s after discovery had it; but never
 // all at once.
 TEST(EndpointWatch, AHundredDispatchersSpreadTheirCallsWithinTheTimeForAnUpdate) {
-  std::vector<int> calls = asking_together(true);
+  std::vector<int> calls = watching_together(true);
   EXPECT_LE(*std::ranges::max_element(calls), 17);
   for (std::size_t second = 1; second < 19; ++second) {
     int asked = std::accumulate(calls.begin() + 10 * second, calls.begin() + 10 * second + 10, 0);
     EXPECT_LE(asked, 115) << second;
     EXPECT_GE(asked, 66) << second;
   }
-  EXPECT_EQ(asking_together(false).front(), 100) << "who holds no list asks at once";
+  EXPECT_EQ(watching_together(false).front(), 100) << "who holds no list asks at once";
 }
 
-// What each of `balancers` dispatchers sends to one cold worker, all with more work at hand than
-// they may send. Each starts again every so many ms, as a process that knows nothing of the one
-// before.
+// What each of `balancers` dispatchers sends to one starting worker, all with more work at hand
+// than they may send. Each starts again every so many ms, as a process that knows nothing of the
+// one before.
 struct MostInASpan {
   double of_budget = 0;
   double of_fall = 0;  // of what the settings allow, N requests, and of N + 2 x root of N + 2
@@ -258,9 +260,9 @@
       if (!s || s->now - begun >= Duration(restart_every)) {
         begun = s ? s->now : begin;
         s = std::make_unique<Scene>(set, begun);
-        WorkerEntry cold = s->worker("a");
-        cold.online_since = begin;
-        s->list({cold});
+        WorkerEntry starting = s->worker("a");
+        starting.online_since = begin;
+        s->list({starting});
       }
       s->request(++id, cost_hint, 1e6);
       note_sent();
@@ -288,7 +290,7 @@
   for (int dispatchers : {1, 2, 3, 7, 14}) {
     double used = most_in_a_span(dispatchers, 40).of_budget;
     EXPECT_LE(used, 1.0) << dispatchers;
-    EXPECT_GT(used, 0.1) << dispatchers << ": a cold worker must get something";
+    EXPECT_GT(used, 0.1) << dispatchers << ": a starting worker must get something";
   }
 }
 
@@ -299,7 +301,7 @@
       EXPECT_LE(used.of_fall, 1.0) << dispatchers << " started again every " << every;
       EXPECT_LE(used.of_budget, 1.1)
           << dispatchers << " started again every " << every;  // it grows in a span
-      EXPECT_GT(used.of_budget, 0.1) << dispatchers << ": a cold worker must get something";
+      EXPECT_GT(used.of_budget, 0.1) << dispatchers << ": a starting worker must get something";
     }
   }
 }
@@ -313,40 +315,40 @@
                                                     // a factor
   EXPECT_LE(most_in_a_span(1, 40).of_budget, 0.6);
   Settings set = settings(Idempotency::NonIdempotent);
-  Scene s(set);
-  WorkerEntry cold = s.worker("a");
-  cold.online_since = s.now;
-  s.list({cold});
-  s.request(
-      1,
-      510);  // of 3 x 0.25 x two slots x 1 s = 1500 ms, of which half is given out; counted at 1.5
-  EXPECT_TRUE(s.sent_to(1).empty());
-  s.request(2, 100);
-  EXPECT_EQ(s.sent_to(2), "a");
+  Scene scene(set);
+  WorkerEntry starting = scene.worker("a");
+  starting.online_since = scene.now;
+  scene.list({starting});
+  scene.request(1,
+                510);  // of 3 x 0.25 x two slots x 1 scene = 1500 ms, of which half is given out;
+                       // counted at 1.5
+  EXPECT_TRUE(scene.sent_to(1).empty());
+  scene.request(2, 100);
+  EXPECT_EQ(scene.sent_to(2), "a");
 }
 
-// Found on a twin with one dispatcher: 27 short jobs within a second pushed a cold worker over,
-// though their hints were a twenty-fifth of what such jobs take on average. A hint counts for no
-// less than its class does.
+// Found on a twin with one dispatcher: 27 short requests within a second pushed a starting worker
+// over, though their hints were a twenty-fifth of what such requests take on average. A hint counts
+// for no less than its class does.
 TEST(SlowStartBudget, ManyShortHintsCountAsTheMeanOfTheirClass) {
   Settings set = settings(Idempotency::NonIdempotent);
   set.classes[0].latency_objective = set.classes[0].deadline = Duration(1e6);
-  Scene s(set);
-  WorkerEntry cold = s.worker("a");
-  cold.online_since = s.now;
-  s.list({});
+  Scene scene(set);
+  WorkerEntry starting = scene.worker("a");
+  starting.online_since = scene.now;
+  scene.list({});
   for (RequestId id = 1; id <= 40; ++id)
-    s.request(id, 200, 1000);  // held: they tell what the class takes
-  s.pass(1000);
-  cold.online_since = s.now;
-  s.list({cold});
+    scene.request(id, 200, 1000);  // pending: they tell what the class takes
+  scene.pass(1000);
+  starting.online_since = scene.now;
+  scene.list({starting});
   int sent = 0;
   for (RequestId id = 100; id < 140; ++id) {
-    s.request(id, 2, 1e6);
-    if (s.sent_to(id).empty())
+    scene.request(id, 2, 1e6);
+    if (scene.sent_to(id).empty())
       continue;
-    s.started(id);
-    s.end(id, 0, Outcome::Success, true);
+    scene.started(id);
+    scene.end(id, 0, Outcome::Success, true);
     ++sent;
   }
   EXPECT_GT(sent, 0);
@@ -359,38 +361,39 @@
   Settings set = settings(Idempotency::NonIdempotent);
   set.dispatchers = 4;
   set.index = 3;
-  Scene s(set);
-  s.list({s.worker("a")});
-  s.request(1, 400);
-  EXPECT_EQ(s.sent_to(1), "a");
-  s.end(1, 0, Outcome::Success, true);
-  WorkerEntry again = s.worker("a");
-  again.online_since = s.now;
-  s.list({again}, EndpointUpdateKind::Delta);
-  s.request(2, 400);
-  EXPECT_TRUE(s.sent_to(2).empty());
-  s.pass(10001);
-  s.request(3, 400);
-  EXPECT_EQ(s.sent_to(3), "a");
+  Scene scene(set);
+  scene.list({scene.worker("a")});
+  scene.request(1, 400);
+  EXPECT_EQ(scene.sent_to(1), "a");
+  scene.end(1, 0, Outcome::Success, true);
+  WorkerEntry again = scene.worker("a");
+  again.online_since = scene.now;
+  scene.list({again}, EndpointUpdateKind::Delta);
+  scene.request(2, 400);
+  EXPECT_TRUE(scene.sent_to(2).empty());
+  scene.pass(10001);
+  scene.request(3, 400);
+  EXPECT_EQ(scene.sent_to(3), "a");
 }
 
 TEST(SlowStart, RecoveredWorkerWarmsUpUntilShownOtherwise) {
   Settings set = settings(Idempotency::NonIdempotent);
   set.health_checks_allowed = true;
   set.dispatchers = 4;
-  Scene s(set);
-  s.list({s.worker("a")});
-  s.request(1, 10);
-  ASSERT_EQ(s.sent_to(1), "a");
-  s.end(1, 0, Outcome::ConnectionReset);
-  s.scheduler_.on_health_check_result(s.now, "a", Outcome::ConnectFailed, {}, s.actions);
-  s.actions.clear();
-  s.pass(1100);
-  ASSERT_EQ(s.of(ActionKind::HealthCheck).size(), 1U);
-  s.actions.clear();
-  s.scheduler_.on_health_check_result(s.now, "a", Outcome::Success, {}, s.actions);
-  s.request(2, 900);
-  EXPECT_TRUE(s.sent_to(2).empty());
+  Scene scene(set);
+  scene.list({scene.worker("a")});
+  scene.request(1, 10);
+  ASSERT_EQ(scene.sent_to(1), "a");
+  scene.end(1, 0, Outcome::ConnectionReset);
+  scene.scheduler_.on_health_check_result(scene.now, "a", Outcome::ConnectFailed, {},
+                                          scene.actions);
+  scene.actions.clear();
+  scene.pass(1100);
+  ASSERT_EQ(scene.of(ActionKind::HealthCheck).size(), 1U);
+  scene.actions.clear();
+  scene.scheduler_.on_health_check_result(scene.now, "a", Outcome::Success, {}, scene.actions);
+  scene.request(2, 900);
+  EXPECT_TRUE(scene.sent_to(2).empty());
 }
 
 }  // namespace
--- a/tests/scheduling/support.h
+++ b/tests/scheduling/support.h
@@ -25,26 +25,26 @@
 
 inline Settings settings(Idempotency idempotency = Idempotency::Idempotent,
                          DeduplicationScope deduplication_scope = DeduplicationScope::Zone) {
-  Settings s;
-  s.seed = 7;
-  s.classes = {job_class(idempotency, deduplication_scope)};
-  s.max_attempts = 4;
-  s.hedging_allowed = true;
-  s.connect_timeout = Duration(100);
-  s.cancellation_allowed = true;
-  s.reports_job_start = true;
-  s.slow_start_initial_fraction = 0.25;
-  s.slow_start_duration = Duration(10000);
-  s.overload_multiple = 3;
-  s.overload_window = Duration(1000);
-  s.weight_by_work = true;
-  return s;
+  Settings config;
+  config.seed = 7;
+  config.classes = {job_class(idempotency, deduplication_scope)};
+  config.max_attempts = 4;
+  config.hedging_allowed = true;
+  config.connect_timeout = Duration(100);
+  config.cancellation_allowed = true;
+  config.reports_job_start = true;
+  config.slow_start_initial_fraction = 0.25;
+  config.slow_start_duration = Duration(10000);
+  config.overload_multiple = 3;
+  config.overload_window = Duration(1000);
+  config.weight_by_work = true;
+  return config;
 }
 
 class Scene {
  public:
-  explicit Scene(const Settings& s, Time begun = Time(Duration(1000000)))
-      : now(begun), scheduler_(s, now, actions) {}
+  explicit Scene(const Settings& config, Time begun = Time(Duration(1000000)))
+      : now(begun), scheduler_(config, now, actions) {}
 
   WorkerEntry worker(std::string_view name, int zone = 0, int cell = 0,
                      Readiness readiness = Readiness::Ready) {
@@ -81,7 +81,7 @@
     actions.clear();
     scheduler_.on_job_event(now, id, attempt, worker, JobEventKind::Started, actions);
   }
-  // Jobs 1 and 2 start and keep both slots of `worker`, the only one listed, busy.
+  // Requests 1 and 2 start and keep both slots of `worker`, the only one listed, busy.
   void fill(const std::string& worker, double cost_hint) {
     for (RequestId id : {1, 2}) {
       request(id, cost_hint);
