--- a/tests/scheduling/cutoff_test.cpp
+++ b/tests/scheduling/cutoff_test.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 CostHistogram histogram_of(const std::vector<double>& requests) {
-  CostHistogram h;
+  CostHistogram histogram;
   for (double x : requests)
-    h.add(Time(Duration(5)), x);
-  return h;
+    histogram.add(Time(Duration(5)), x);
+  return histogram;
 }
 
 // Mean slowdown of the requests in [low, high) on one queue holding `share` of the capacity, up to
@@ -103,47 +103,47 @@
 }
 
 TEST(Cutoff, IgnoresAbsurdHints) {
-  CostHistogram h;
+  CostHistogram histogram;
   for (double x : {0.0, -5.0, std::nan(""), std::numeric_limits<double>::infinity()})
-    h.add(Time(Duration(5)), x);
-  EXPECT_EQ(h.samples(), 0);
+    histogram.add(Time(Duration(5)), x);
+  EXPECT_EQ(histogram.samples(), 0);
 }
 
 TEST(Cutoff, OldHintsFade) {
-  CostHistogram h;
+  CostHistogram histogram;
   for (int i = 0; i < 100; ++i)
-    h.add(Time(Duration(5)), 10);
-  h.add(Time(Duration(5 + 60000)), 10);
-  EXPECT_NEAR(h.samples(), 51, 0.5);
+    histogram.add(Time(Duration(5)), 10);
+  histogram.add(Time(Duration(5 + 60000)), 10);
+  EXPECT_NEAR(histogram.samples(), 51, 0.5);
 }
 
 TEST(Cutoff, WorkRateIsTheWorkOfferedPerTime) {
-  CostHistogram h;
+  CostHistogram histogram;
   for (int i = 0; i < 30000; i += 10)
-    h.add(Time(Duration(i)), 5);
-  EXPECT_NEAR(h.work_rate(Time(Duration(30000))), 0.5, 0.02);
+    histogram.add(Time(Duration(i)), 5);
+  EXPECT_NEAR(histogram.work_rate(Time(Duration(30000))), 0.5, 0.02);
 }
 
 TEST(CostHintModel, ExactHintsAreTakenAsTheyAre) {
-  CostHintModel m;
-  EXPECT_EQ(m.expected(50), 50);
+  CostHintModel model;
+  EXPECT_EQ(model.expected(50), 50);
   for (int i = 0; i < 500; ++i)
-    m.learn(1 + i % 90, 1 + i % 90);
-  EXPECT_NEAR(m.expected(5), 5, 0.2);
-  EXPECT_NEAR(m.expected(80), 80, 2);
-  EXPECT_LT(m.spread(), 1.1);
+    model.learn(1 + i % 90, 1 + i % 90);
+  EXPECT_NEAR(model.expected(5), 5, 0.2);
+  EXPECT_NEAR(model.expected(80), 80, 2);
+  EXPECT_LT(model.spread(), 1.1);
 }
 
 TEST(CostHintModel,
      HintsWithoutMeaningShrinkToTheMean) {  // incident ic372f3: short hints hid long requests
-  CostHintModel m;
+  CostHintModel model;
   for (int i = 0; i < 2000; ++i)
-    m.learn(i % 2 ? 10 : 1000, (i / 2) % 2 ? 50 : 200);
-  EXPECT_GT(m.expected(10), 100);
-  EXPECT_LT(m.expected(1000), 900);
-  EXPECT_NEAR(m.expected(10) + m.expected(1000), 1010, 60)
+    model.learn(i % 2 ? 10 : 1000, (i / 2) % 2 ? 50 : 200);
+  EXPECT_GT(model.expected(10), 100);
+  EXPECT_LT(model.expected(1000), 900);
+  EXPECT_NEAR(model.expected(10) + model.expected(1000), 1010, 60)
       << "the load as a whole stays what the hints say";
-  EXPECT_NEAR(m.spread(), 2, 0.2);
+  EXPECT_NEAR(model.spread(), 2, 0.2);
 }
 
 }  // namespace
--- a/tests/scheduling/endpoint_watcher_test.cpp
+++ b/tests/scheduling/endpoint_watcher_test.cpp
@@ -13,55 +13,55 @@
 class EndpointWatcherTest : public ::testing::Test {
  protected:
   EndpointWatcherTest() {
-    sink_.begin_event(actions_);
-    settings_.watch_required = true;
+    sink.begin_event(actions);
+    settings.watch_required = true;
   }
 
   std::ptrdiff_t watches() const {
-    return std::ranges::count(actions_, ActionKind::Watch, &Action::kind);
+    return std::ranges::count(actions, ActionKind::Watch, &Action::kind);
   }
 
-  Settings settings_;
-  Actions actions_;
-  ActionSink sink_;
-  TimerQueue timers_{sink_};
-  std::mt19937_64 random_{1};
-  EndpointWatcher watcher_{settings_, sink_, timers_, random_};
+  Settings settings;
+  Actions actions;
+  ActionSink sink;
+  TimerQueue timers{sink};
+  std::mt19937_64 random{1};
+  EndpointWatcher watcher{settings, sink, timers, random};
 };
 
 TEST_F(EndpointWatcherTest, WatchesAtOnceWhenItStartsWithNothing) {
-  watcher_.on_update(kStart, EndpointUpdateKind::Cached, true);
+  watcher.on_update(kStart, EndpointUpdateKind::Cached, true);
   EXPECT_EQ(watches(), 1);
 }
 
 TEST_F(EndpointWatcherTest, WatchesAgainOnlyAfterTheLatestCallAndWhileNoWatchIsOpen) {
-  watcher_.on_update(kStart, EndpointUpdateKind::Cached, true);
-  watcher_.on_timer(kStart + Duration(2000), 1);
+  watcher.on_update(kStart, EndpointUpdateKind::Cached, true);
+  watcher.on_timer(kStart + Duration(2000), 1);
   EXPECT_EQ(watches(), 2);
-  watcher_.on_timer(kStart + Duration(2000), 1);
+  watcher.on_timer(kStart + Duration(2000), 1);
   EXPECT_EQ(watches(), 2);
-  watcher_.on_update(kStart + Duration(2100), EndpointUpdateKind::Snapshot, false);
-  watcher_.on_timer(kStart + Duration(4000), 2);
+  watcher.on_update(kStart + Duration(2100), EndpointUpdateKind::Snapshot, false);
+  watcher.on_timer(kStart + Duration(4000), 2);
   EXPECT_EQ(watches(), 2);
 }
 
 TEST_F(EndpointWatcherTest, BackoffGrowsToItsMaximum) {
-  watcher_.on_update(kStart, EndpointUpdateKind::Cached, true);
+  watcher.on_update(kStart, EndpointUpdateKind::Cached, true);
   double maximum_ms = 500;
   for (int failure = 0; failure < 4; ++failure) {
-    while (timers_.pop_due(kStart + Duration(1e6))) {
+    while (timers.pop_due(kStart + Duration(1e6))) {
     }
-    watcher_.on_update(kStart, EndpointUpdateKind::Failed, true);
-    EXPECT_FALSE(timers_.pop_due(kStart + Duration(maximum_ms / 2 - 1)));
-    EXPECT_TRUE(timers_.pop_due(kStart + Duration(maximum_ms)));
+    watcher.on_update(kStart, EndpointUpdateKind::Failed, true);
+    EXPECT_FALSE(timers.pop_due(kStart + Duration(maximum_ms / 2 - 1)));
+    EXPECT_TRUE(timers.pop_due(kStart + Duration(maximum_ms)));
     maximum_ms = std::min(2 * maximum_ms, 1500.0);
   }
 }
 
 TEST_F(EndpointWatcherTest, DoesNothingWhereNoWatchIsRequired) {
-  settings_.watch_required = false;
-  watcher_.on_update(kStart, EndpointUpdateKind::Cached, true);
-  EXPECT_TRUE(actions_.empty());
+  settings.watch_required = false;
+  watcher.on_update(kStart, EndpointUpdateKind::Cached, true);
+  EXPECT_TRUE(actions.empty());
 }
 
 }  // namespace
--- a/tests/scheduling/idempotency_test.cpp
+++ b/tests/scheduling/idempotency_test.cpp
@@ -48,7 +48,7 @@
   }
   void end_as(int attempt, std::string_view named, Outcome outcome) {
     actions.clear();
-    scheduler_.on_attempt_end(now, {1, attempt, false, named, outcome, {}}, actions);
+    scheduler.on_attempt_end(now, {1, attempt, false, named, outcome, {}}, actions);
   }
   bool silent() { return of(ActionKind::Send).empty() && of(ActionKind::Reject).empty(); }
 
@@ -185,7 +185,7 @@
   scene.list({scene.worker("a"), scene.worker("b")});
   scene.now += Duration(1500);
   scene.actions.clear();
-  scene.scheduler_.on_timer(scene.now, scene.actions);
+  scene.scheduler.on_timer(scene.now, scene.actions);
   ASSERT_EQ(scene.sent_to(1), "b");
   scene.list({scene.worker("a", 0, 0, Readiness::Draining)}, EndpointUpdateKind::Delta);
   scene.end(1, 0, Outcome::Rejected);
@@ -193,7 +193,7 @@
   scene.list({scene.worker("b", 0, 0, Readiness::Draining), scene.worker("c")},
              EndpointUpdateKind::Delta);
   scene.actions.clear();
-  scene.scheduler_.on_timer(scene.now, scene.actions);
+  scene.scheduler.on_timer(scene.now, scene.actions);
   EXPECT_TRUE(scene.silent());
   scene.end(1, 1, Outcome::ConnectionReset);
   EXPECT_TRUE(scene.silent());
@@ -217,7 +217,7 @@
     for (JobEventKind kind : {JobEventKind::Started, JobEventKind::Progress}) {
       TwoAttempts scene(long_deadline(Idempotency::NonIdempotent, DeduplicationScope::All));
       scene.send_first();
-      scene.scheduler_.on_job_event(scene.now, 1, 0, "a", kind, scene.actions);
+      scene.scheduler.on_job_event(scene.now, 1, 0, "a", kind, scene.actions);
       scene.list({scene.worker("b")}, EndpointUpdateKind::Delta);
       scene.end(1, 0, proof);
       EXPECT_TRUE(scene.silent());
@@ -280,8 +280,8 @@
       if (sign == 1)
         scene.started(1);
       if (sign == 2)
-        scene.scheduler_.on_job_event(scene.now, 1, 0, "nobody", JobEventKind::Progress,
-                                      scene.actions);
+        scene.scheduler.on_job_event(scene.now, 1, 0, "nobody", JobEventKind::Progress,
+                                     scene.actions);
       std::vector<Action> seen = scene.actions;
       scene.pass(30000);
       seen.insert(seen.end(), scene.actions.begin(), scene.actions.end());
--- a/tests/scheduling/large_fleet_test.cpp
+++ b/tests/scheduling/large_fleet_test.cpp
@@ -82,17 +82,17 @@
   }
   std::vector<std::string> checked_workers() {
     std::vector<std::string> found;
-    for (const Action& a : scene->of(ActionKind::HealthCheck))
-      found.emplace_back(a.worker);
+    for (const Action& action : scene->of(ActionKind::HealthCheck))
+      found.emplace_back(action.worker);
     return found;
   }
   void answer(const std::string& worker, double free_slots, double busy) {
-    LoadReport r;
-    r.free_slots = free_slots;
-    r.busy = busy;
+    LoadReport report;
+    report.free_slots = free_slots;
+    report.busy = busy;
     scene->actions.clear();
-    scene->scheduler_.on_health_check_result(scene->now, worker, Outcome::Success, r,
-                                             scene->actions);
+    scene->scheduler.on_health_check_result(scene->now, worker, Outcome::Success, report,
+                                            scene->actions);
   }
   std::unique_ptr<Scene> scene;
   std::vector<std::string> names;
@@ -140,7 +140,7 @@
     scene->request(1, 100);
     std::string first = checked_workers().at(0);
     scene->actions.clear();
-    scene->scheduler_.on_health_check_result(scene->now, first, outcome, {}, scene->actions);
+    scene->scheduler.on_health_check_result(scene->now, first, outcome, {}, scene->actions);
     bool lives = outcome == Outcome::Rejected;  // only too many probes at once
     EXPECT_EQ(scene->sent_to(1), lives ? first : "");
   }
@@ -201,7 +201,7 @@
       if (sent)
         scene.end(id, 0, Outcome::Success, true);
       scene.actions.clear();
-      scene.scheduler_.on_client_disconnected(scene.now, id, scene.actions);
+      scene.scheduler.on_client_disconnected(scene.now, id, scene.actions);
       scene.now += Duration(100);
     }
     users += used;
@@ -240,15 +240,15 @@
       std::string to = scene.sent_to(id);
       std::deque<std::string> asked;
       auto note_asked = [&] {
-        for (const Action& a : scene.of(ActionKind::HealthCheck))
-          asked.emplace_back(a.worker);
+        for (const Action& action : scene.of(ActionKind::HealthCheck))
+          asked.emplace_back(action.worker);
       };
       for (note_asked(); !asked.empty(); asked.pop_front(), note_asked()) {
         LoadReport free;
         free.free_slots = 2;
         scene.actions.clear();
-        scene.scheduler_.on_health_check_result(scene.now, asked.front(), Outcome::Success, free,
-                                                scene.actions);
+        scene.scheduler.on_health_check_result(scene.now, asked.front(), Outcome::Success, free,
+                                               scene.actions);
         if (to.empty())
           to = scene.sent_to(id);
       }
@@ -285,14 +285,14 @@
   }
   void say(int worker, double requests) {
     actions.clear();
-    scheduler_.on_load_gossip(now, name(worker), requests, actions);
+    scheduler.on_load_gossip(now, name(worker), requests, actions);
   }
   // The one that a new request checks first, or goes to at once.
   std::string first(RequestId id) {
     request(id, 100);
-    for (const Action& a : actions) {
-      if (a.kind == ActionKind::HealthCheck || a.kind == ActionKind::Send)
-        return std::string(a.worker);
+    for (const Action& action : actions) {
+      if (action.kind == ActionKind::HealthCheck || action.kind == ActionKind::Send)
+        return std::string(action.worker);
     }
     return {};
   }
@@ -306,7 +306,7 @@
   LoadReport full;  // it is old by a second: what the others tell goes before it
   full.free_slots = 0;
   scene.actions.clear();
-  scene.scheduler_.on_health_check_result(scene.now, "w2", Outcome::Success, full, scene.actions);
+  scene.scheduler.on_health_check_result(scene.now, "w2", Outcome::Success, full, scene.actions);
   EXPECT_EQ(scene.sent_to(1), "w2");
 }
 
@@ -330,7 +330,7 @@
 TEST(Affinity, GossipAddsNoWorkerAndRecoversNone) {
   NearScene scene;
   scene.actions.clear();
-  scene.scheduler_.on_load_gossip(scene.now, "stranger", 0, scene.actions);
+  scene.scheduler.on_load_gossip(scene.now, "stranger", 0, scene.actions);
   EXPECT_TRUE(scene.actions.empty());
   scene.list({scene.worker("w2", 0, 0, Readiness::Draining)}, EndpointUpdateKind::Delta);
   scene.say(2, 0);
--- a/tests/scheduling/scheduler_test.cpp
+++ b/tests/scheduling/scheduler_test.cpp
@@ -43,7 +43,7 @@
   scene.list(entries(scene, ids, 2));
   int shorts[2] = {};
   for (std::size_t i = 0; i < ids.size(); ++i)
-    shorts[i % 2] += scene.scheduler_.in_short_pool(ids[i]);
+    shorts[i % 2] += scene.scheduler.in_short_pool(ids[i]);
   EXPECT_EQ(shorts[0], 4);
   EXPECT_EQ(shorts[1], 4);
 }
@@ -55,12 +55,12 @@
     scene.list(entries(scene, ids));
     std::vector<bool> before;
     for (auto& id : ids)
-      before.push_back(scene.scheduler_.in_short_pool(id));
+      before.push_back(scene.scheduler.in_short_pool(id));
     scene.list({scene.worker(ids[gone], 0, 0, Readiness::Removed), scene.worker("10.9.9.9:7000")},
                EndpointUpdateKind::Delta);
     int moved = 0;
     for (int i = 0; i < 12; ++i)
-      moved += i != gone && scene.scheduler_.in_short_pool(ids[i]) != before[i];
+      moved += i != gone && scene.scheduler.in_short_pool(ids[i]) != before[i];
     EXPECT_LE(moved, 1) << gone;
   }
 }
@@ -76,12 +76,12 @@
     scene.end(id, 0, Outcome::Success, true);
     scene.pass(50);
   }
-  ASSERT_GT(scene.scheduler_.cutoff_ms(), 10);
-  ASSERT_LT(scene.scheduler_.cutoff_ms(), 1000);
+  ASSERT_GT(scene.scheduler.cutoff_ms(), 10);
+  ASSERT_LT(scene.scheduler.cutoff_ms(), 1000);
   scene.request(++id, 10);
-  EXPECT_TRUE(scene.scheduler_.in_short_pool(scene.sent_to(id)));
+  EXPECT_TRUE(scene.scheduler.in_short_pool(scene.sent_to(id)));
   scene.request(++id, 1000);
-  EXPECT_FALSE(scene.scheduler_.in_short_pool(scene.sent_to(id)));
+  EXPECT_FALSE(scene.scheduler.in_short_pool(scene.sent_to(id)));
 }
 
 TEST(Selection, LeastOwnOutstandingWorkInsideThePool) {
@@ -93,7 +93,7 @@
       scene.end(2, 0, Outcome::Success, true);  // its worker has the least work again
     scene.request(id, 100);
     to[id] = scene.sent_to(id);
-    EXPECT_FALSE(scene.scheduler_.in_short_pool(to[id])) << "requests of one size are all long";
+    EXPECT_FALSE(scene.scheduler.in_short_pool(to[id])) << "requests of one size are all long";
   }
   EXPECT_NE(to[1], to[2]);
   EXPECT_EQ(to[3], to[2]);
@@ -168,9 +168,9 @@
   ASSERT_NO_FATAL_FAILURE(scene.fill("a", 5000));
   auto enqueue = [&](RequestId id, std::size_t job_class) {
     scene.actions.clear();
-    Request r{
+    Request arriving{
         .id = id, .job_class = job_class, .timeout = Duration(10000), .cost_hint = Duration(100)};
-    scene.scheduler_.on_request(scene.now, r, scene.actions);
+    scene.scheduler.on_request(scene.now, arriving, scene.actions);
     ASSERT_TRUE(scene.sent_to(id).empty());
   };
   enqueue(3, 1);
@@ -294,8 +294,8 @@
   ASSERT_EQ(scene.of(ActionKind::HealthCheck).size(),
             1U);  // at once: it may have been the connection alone
   scene.actions.clear();
-  scene.scheduler_.on_health_check_result(scene.now, first, Outcome::ConnectFailed, {},
-                                          scene.actions);
+  scene.scheduler.on_health_check_result(scene.now, first, Outcome::ConnectFailed, {},
+                                         scene.actions);
   for (RequestId id = 2; id < 6; ++id) {
     scene.request(id, 10);
     EXPECT_NE(scene.sent_to(id), first);
@@ -363,7 +363,7 @@
             if (sent) {
               scene.end(id, 0, Outcome::Success, true);
             } else {
-              scene.scheduler_.on_client_disconnected(scene.now, id, scene.actions);
+              scene.scheduler.on_client_disconnected(scene.now, id, scene.actions);
             }
           }
         }
@@ -423,7 +423,7 @@
   };
   lose(1);
   ASSERT_EQ(scene.of(ActionKind::HealthCheck).size(), 1U);
-  scene.scheduler_.on_health_check_result(scene.now, "a", Outcome::Success, {}, scene.actions);
+  scene.scheduler.on_health_check_result(scene.now, "a", Outcome::Success, {}, scene.actions);
   lose(2);
   EXPECT_TRUE(scene.of(ActionKind::HealthCheck).empty());
   scene.request(3, 900);
@@ -439,8 +439,8 @@
   for (RequestId id = 1; id <= 2; ++id)
     scene.request(id, 100);
   scene.pass(5000);
-  for (const Action& a : scene.of(ActionKind::Log))
-    EXPECT_EQ(a.text.find("taken as down"), std::string::npos);
+  for (const Action& action : scene.of(ActionKind::Log))
+    EXPECT_EQ(action.text.find("taken as down"), std::string::npos);
 }
 
 TEST(Health, ASlowIdempotentRequestIsHedgedAndTheWaitingAttemptIsCancelled) {
@@ -481,22 +481,22 @@
     scene.end(id, 0, Outcome::Success, true);  // a duplicate
   }
   scene.actions.clear();
-  scene.scheduler_.on_attempt_end(scene.now, {99, 7, false, "nobody", Outcome::ConnectionReset, {}},
-                                  scene.actions);
-  scene.scheduler_.on_job_event(scene.now, 99, -1, "a", JobEventKind::Started, scene.actions);
-  scene.scheduler_.on_health_check_result(scene.now, "nobody", Outcome::Success, {}, scene.actions);
-  scene.scheduler_.on_timer(scene.now, scene.actions);
+  scene.scheduler.on_attempt_end(scene.now, {99, 7, false, "nobody", Outcome::ConnectionReset, {}},
+                                 scene.actions);
+  scene.scheduler.on_job_event(scene.now, 99, -1, "a", JobEventKind::Started, scene.actions);
+  scene.scheduler.on_health_check_result(scene.now, "nobody", Outcome::Success, {}, scene.actions);
+  scene.scheduler.on_timer(scene.now, scene.actions);
   EXPECT_TRUE(scene.of(ActionKind::Send).empty() && scene.of(ActionKind::Fail).empty() &&
               scene.of(ActionKind::Reject).empty());
-  EXPECT_EQ(scene.scheduler_.open_requests(), 0U);
+  EXPECT_EQ(scene.scheduler.open_requests(), 0U);
 }
 
 // The error rate in a worker's report, after two requests that it served at once.
 LoadReport errors(double a_second) {
-  LoadReport r;
-  r.free_slots = 2;
-  r.fail_rate = a_second;
-  return r;
+  LoadReport report;
+  report.free_slots = 2;
+  report.fail_rate = a_second;
+  return report;
 }
 
 TEST(Failing, AWorkerThatReportsManyErrorsGetsNothingForAWhile) {
@@ -542,9 +542,9 @@
   Scene scene(set);
   std::ostringstream all;
   auto write = [&] {
-    for (const Action& a : scene.actions) {
-      all << static_cast<int>(a.kind) << ' ' << a.id << ' ' << a.worker << ' '
-          << a.at.time_since_epoch().count() << '\n';
+    for (const Action& action : scene.actions) {
+      all << static_cast<int>(action.kind) << ' ' << action.id << ' ' << action.worker << ' '
+          << action.at.time_since_epoch().count() << '\n';
     }
   };
   scene.list(entries(scene, names(6), 2), EndpointUpdateKind::Cached);
@@ -574,13 +574,13 @@
   static Settings two() {
     Settings set = settings(Idempotency::NonIdempotent);
     set.classes.push_back(set.classes[0]);
-    for (ClassSettings& c : set.classes)
-      c.latency_objective = c.deadline = Duration(60000);
+    for (ClassSettings& job_class : set.classes)
+      job_class.latency_objective = job_class.deadline = Duration(60000);
     return set;
   }
   bool goes(std::size_t job_class) {
     actions.clear();
-    scheduler_.on_request(now, {++last, job_class, Duration(60000), Duration(10)}, actions);
+    scheduler.on_request(now, {++last, job_class, Duration(60000), Duration(10)}, actions);
     return sent_to(last) == "a";
   }
   void serve(std::size_t job_class, Outcome outcome) {
@@ -703,7 +703,7 @@
     scene.request(id, 0);
     std::string worker = scene.sent_to(id);
     ASSERT_FALSE(worker.empty());
-    in_short += scene.scheduler_.in_short_pool(worker) ? 1 : 0;
+    in_short += scene.scheduler.in_short_pool(worker) ? 1 : 0;
     scene.started(id);
     scene.pass(100);
     scene.end(id, 0, Outcome::Success, true);
@@ -721,8 +721,8 @@
   for (RequestId id = 1; id <= 40; ++id) {
     scene.request(id, 100);
     scene.pass(200);  // no start note comes
-    for (const Action& a : scene.of(ActionKind::Send))
-      hedges += a.id <= id ? 1 : 0;
+    for (const Action& action : scene.of(ActionKind::Send))
+      hedges += action.id <= id ? 1 : 0;
   }
   EXPECT_GE(hedges, 1);
   EXPECT_LE(hedges, 1 + 40 / 10 + 1);
@@ -754,8 +754,8 @@
     for (; id <= 100; ++id) {
       scene.request(id, 100);
       scene.pass(200);  // no start note comes
-      for (const Action& a : scene.of(ActionKind::Send))
-        hedges += a.id <= id ? 1 : 0;
+      for (const Action& action : scene.of(ActionKind::Send))
+        hedges += action.id <= id ? 1 : 0;
     }
     if (prompt) {
       EXPECT_GE(hedges, 4);
--- a/tests/scheduling/service_rules_test.cpp
+++ b/tests/scheduling/service_rules_test.cpp
@@ -14,7 +14,7 @@
   EXPECT_TRUE(scene.sent_to(1).empty());
   scene.pass(799);
   EXPECT_TRUE(scene.answered(1, ActionKind::Reject));
-  EXPECT_EQ(scene.scheduler_.open_requests(), 0U);
+  EXPECT_EQ(scene.scheduler.open_requests(), 0U);
 }
 
 TEST(FinalAnswer, RequestThatMayHaveRunFailsInsteadAndOnlyOnce) {
@@ -49,8 +49,8 @@
   scene.list({});
   scene.request(1, 100);
   scene.actions.clear();
-  scene.scheduler_.on_client_disconnected(scene.now, 1, scene.actions);
-  scene.scheduler_.on_client_disconnected(scene.now, 1, scene.actions);
+  scene.scheduler.on_client_disconnected(scene.now, 1, scene.actions);
+  scene.scheduler.on_client_disconnected(scene.now, 1, scene.actions);
   scene.list({scene.worker("a")});
   scene.pass(11000);
   EXPECT_TRUE(scene.of(ActionKind::Send).empty() && scene.of(ActionKind::Reject).empty());
@@ -248,10 +248,11 @@
     set.classes[0].deadline = Duration(1e6);
     std::unique_ptr<Scene> s;
     auto note_sent = [&] {
-      for (const Action& a : s->of(ActionKind::Send)) {
+      for (const Action& action : s->of(ActionKind::Send)) {
         sent.emplace_back((s->now - begin).count(), cost_hint);
         std::vector<Action> ignored;
-        s->scheduler_.on_attempt_end(s->now, {a.id, 0, true, "a", Outcome::Success, {}}, ignored);
+        s->scheduler.on_attempt_end(s->now, {action.id, 0, true, "a", Outcome::Success, {}},
+                                    ignored);
       }
     };
     RequestId id = 0;
@@ -385,13 +386,12 @@
   scene.request(1, 10);
   ASSERT_EQ(scene.sent_to(1), "a");
   scene.end(1, 0, Outcome::ConnectionReset);
-  scene.scheduler_.on_health_check_result(scene.now, "a", Outcome::ConnectFailed, {},
-                                          scene.actions);
+  scene.scheduler.on_health_check_result(scene.now, "a", Outcome::ConnectFailed, {}, scene.actions);
   scene.actions.clear();
   scene.pass(1100);
   ASSERT_EQ(scene.of(ActionKind::HealthCheck).size(), 1U);
   scene.actions.clear();
-  scene.scheduler_.on_health_check_result(scene.now, "a", Outcome::Success, {}, scene.actions);
+  scene.scheduler.on_health_check_result(scene.now, "a", Outcome::Success, {}, scene.actions);
   scene.request(2, 900);
   EXPECT_TRUE(scene.sent_to(2).empty());
 }
--- a/tests/scheduling/support.h
+++ b/tests/scheduling/support.h
@@ -12,15 +12,15 @@
 
 inline ClassSettings job_class(Idempotency idempotency,
                                DeduplicationScope deduplication_scope = DeduplicationScope::Zone) {
-  ClassSettings c;
-  c.name = "a";
-  c.idempotency = idempotency;
-  c.deduplication_scope = deduplication_scope;
-  c.deduplication_window = Duration(5000);
-  c.latency_objective = Duration(200);
-  c.objective_work_factor = 3;
-  c.deadline = Duration(10000);
-  return c;
+  ClassSettings settings;
+  settings.name = "a";
+  settings.idempotency = idempotency;
+  settings.deduplication_scope = deduplication_scope;
+  settings.deduplication_window = Duration(5000);
+  settings.latency_objective = Duration(200);
+  settings.objective_work_factor = 3;
+  settings.deadline = Duration(10000);
+  return settings;
 }
 
 inline Settings settings(Idempotency idempotency = Idempotency::Idempotent,
@@ -44,42 +44,42 @@
 class Scene {
  public:
   explicit Scene(const Settings& config, Time begun = Time(Duration(1000000)))
-      : now(begun), scheduler_(config, now, actions) {}
+      : now(begun), scheduler(config, now, actions) {}
 
   WorkerEntry worker(std::string_view name, int zone = 0, int cell = 0,
                      Readiness readiness = Readiness::Ready) {
-    WorkerEntry e;
-    e.worker = name;
-    e.zone = zone;
-    e.cell = cell;
-    e.readiness = readiness;
-    return e;
+    WorkerEntry entry;
+    entry.worker = name;
+    entry.zone = zone;
+    entry.cell = cell;
+    entry.readiness = readiness;
+    return entry;
   }
   void list(const std::vector<WorkerEntry>& entries,
             EndpointUpdateKind kind = EndpointUpdateKind::Snapshot) {
     actions.clear();
-    scheduler_.on_endpoint_update(now, kind, entries, actions);
+    scheduler.on_endpoint_update(now, kind, entries, actions);
   }
   void request(RequestId id, double cost_hint, double timeout = 10000, double slots = 1,
                std::size_t tenant = 0) {
     actions.clear();
-    Request r;
-    r.id = id;
-    r.timeout = Duration(timeout);
-    r.cost_hint = Duration(cost_hint);
-    r.slots = slots;
-    r.tenant = tenant;
-    scheduler_.on_request(now, r, actions);
+    Request arriving;
+    arriving.id = id;
+    arriving.timeout = Duration(timeout);
+    arriving.cost_hint = Duration(cost_hint);
+    arriving.slots = slots;
+    arriving.tenant = tenant;
+    scheduler.on_request(now, arriving, actions);
   }
   void end(RequestId id, int attempt, Outcome outcome, bool final = false, LoadReport report = {}) {
     std::string worker = attempt_worker.at({id, attempt});
     actions.clear();
-    scheduler_.on_attempt_end(now, {id, attempt, final, worker, outcome, report}, actions);
+    scheduler.on_attempt_end(now, {id, attempt, final, worker, outcome, report}, actions);
   }
   void started(RequestId id, int attempt = 0) {
     std::string worker = attempt_worker.at({id, attempt});
     actions.clear();
-    scheduler_.on_job_event(now, id, attempt, worker, JobEventKind::Started, actions);
+    scheduler.on_job_event(now, id, attempt, worker, JobEventKind::Started, actions);
   }
   // Requests 1 and 2 start and keep both slots of `worker`, the only one listed, busy.
   void fill(const std::string& worker, double cost_hint) {
@@ -95,28 +95,28 @@
     actions.clear();
     for (Time until = now + Duration(span); now < until;) {
       now += Duration(1);
-      scheduler_.on_timer(now, actions);
+      scheduler.on_timer(now, actions);
     }
   }
   std::vector<Action> of(ActionKind kind) {
     std::vector<Action> found;
     std::copy_if(actions.begin(), actions.end(), std::back_inserter(found),
-                 [&](auto& a) { return a.kind == kind; });
+                 [&](auto& action) { return action.kind == kind; });
     return found;
   }
   // The worker that request `id` was sent to by the latest event, remembered for end(); empty if it
   // was not sent.
   std::string sent_to(RequestId id) {
     std::string worker;
-    for (const Action& a : of(ActionKind::Send)) {
-      if (a.id == id)
-        attempt_worker[{id, attempts[id]++}] = worker = a.worker;
+    for (const Action& action : of(ActionKind::Send)) {
+      if (action.id == id)
+        attempt_worker[{id, attempts[id]++}] = worker = action.worker;
     }
     return worker;
   }
   bool answered(RequestId id, ActionKind kind) {
-    for (const Action& a : of(kind)) {
-      if (a.id == id)
+    for (const Action& action : of(kind)) {
+      if (action.id == id)
         return true;
     }
     return false;
@@ -126,7 +126,7 @@
   std::vector<Action> actions;
   std::map<std::pair<RequestId, int>, std::string> attempt_worker;
   std::map<RequestId, int> attempts;
-  Scheduler scheduler_;
+  Scheduler scheduler;
 };
 
 }  // namespace dispatcher::scheduling::testing
