--- a/src/hot_restart/incoming_process.cpp
+++ b/src/hot_restart/incoming_process.cpp
@@ -115,7 +115,7 @@
   Action action = ownership_.on_ownership_transfer();
   if (action != Action::Serve)
     return carry_out(action);
-  context_.program.router().elsewhere(
+  context_.program.router().add_external_ids(
       {transfer.request_ids().begin(), transfer.request_ids().end()});
   apply_cordons(transfer.cordons());
   limit_use_of_workers();
--- a/src/hot_restart/outgoing_process.cpp
+++ b/src/hot_restart/outgoing_process.cpp
@@ -113,7 +113,7 @@
   ServingProgram& program = context_.program;
   Message message;
   OwnershipTransfer& transfer = *message.mutable_ownership_transfer();
-  for (scheduling::RequestId id : program.router().ids())
+  for (scheduling::RequestId id : program.router().known_ids())
     transfer.add_request_ids(id);
   transfer.set_accepted_connections(static_cast<std::uint32_t>(context_.network.accepted()));
   write_cordons(program.cordon_list(), *transfer.mutable_cordons());
--- a/src/hot_restart/shared_events.cpp
+++ b/src/hot_restart/shared_events.cpp
@@ -34,7 +34,7 @@
 
 void SharedEvents::on_message(ProcessLink& sender, const Message& message) {
   if (message.has_request_accepted()) {
-    program_.router().elsewhere({message.request_accepted().id()});
+    program_.router().add_external_ids({message.request_accepted().id()});
   } else if (message.has_job_event_receipt()) {
     const JobEventReceipt& receipt = message.job_event_receipt();
     on_receipt(receipt.number(), !receipt.retry());
--- /dev/null
+++ b/src/routing/request_table.cpp
@@ -0,0 +1,74 @@
+#include "routing/request_table.h"
+
+#include <algorithm>
+
+namespace dispatcher::routing {
+
+bool OpenRequest::has_open_attempt() const {
+  return std::ranges::any_of(attempts, &Attempt::open);
+}
+
+std::optional<int> OpenRequest::open_attempt_at(const std::string& worker) const {
+  for (int i = static_cast<int>(attempts.size()) - 1; i >= 0; --i) {
+    if (attempts[i].open && attempts[i].worker == worker)
+      return i;
+  }
+  return std::nullopt;
+}
+
+bool OpenRequest::cannot_be_resent() const {
+  return payload->upload && !payload->upload->replayable();
+}
+
+bool OpenRequest::has_unfinished_upload() const {
+  return payload->upload && !payload->upload->taken_all();
+}
+
+std::optional<RequestRef> RequestTable::insert(OpenRequest request) {
+  scheduling::RequestId id = request.id;
+  std::optional<RequestRef> ref = slots_.insert(std::move(request));
+  if (!ref)
+    return std::nullopt;
+  by_id_[id] = *ref;
+  ++unanswered_count_;
+  return ref;
+}
+
+std::optional<RequestRef> RequestTable::find_id(scheduling::RequestId id) const {
+  auto it = by_id_.find(id);
+  if (it == by_id_.end() || !slots_.find(it->second))
+    return std::nullopt;
+  return it->second;
+}
+
+void RequestTable::remove(RequestRef ref) {
+  ended_ids_.push_back(slots_.find(ref)->id);
+  if (ended_ids_.size() > kMaxEndedIds) {
+    by_id_.erase(ended_ids_.front());
+    ended_ids_.pop_front();
+  }
+  slots_.erase(ref);
+}
+
+void RequestTable::mark_answered(OpenRequest& request) {
+  request.answered = true;
+  --unanswered_count_;
+}
+
+std::vector<scheduling::RequestId> RequestTable::known_ids() const {
+  std::vector<scheduling::RequestId> ids;
+  for (const auto& [id, ref] : by_id_)
+    ids.push_back(id);
+  return ids;
+}
+
+std::vector<RequestRef> RequestTable::unanswered() const {
+  std::vector<RequestRef> refs;
+  for (RequestRef ref : slots_.refs()) {
+    if (!slots_.find(ref)->answered)
+      refs.push_back(ref);
+  }
+  return refs;
+}
+
+}  // namespace dispatcher::routing
--- /dev/null
+++ b/src/routing/request_trace.h
@@ -0,0 +1,43 @@
+// The trace of requests, one line for each event: "EVENT ID ATTEMPT TEXT". The words are read by
+// testbed/fleet_table.py. It is the only log that grows with traffic.
+#pragma once
+
+#include <functional>
+#include <string>
+#include <string_view>
+
+#include "dispatcher/scheduling/scheduler.h"
+
+namespace dispatcher::routing {
+
+class RequestTrace {
+ public:
+  using Sink = std::function<void(const std::string&)>;
+  static constexpr int kNoAttempt = -1;
+
+  // Null: off.
+  void write_to(Sink sink) { sink_ = std::move(sink); }
+
+  void accepted(scheduling::RequestId id) const { write("taken", id, kNoAttempt, ""); }
+  // `how`: served, nack (rejected), failed, left (client disconnected) or given (released).
+  void answered(scheduling::RequestId id, std::string_view how) const {
+    write("answered", id, kNoAttempt, how);
+  }
+  void sent(scheduling::RequestId id, int attempt, const std::string& worker) const {
+    write("sent", id, attempt, worker);
+  }
+  void started(scheduling::RequestId id, int attempt, const std::string& worker) const {
+    write("started", id, attempt, worker);
+  }
+  void ended(scheduling::RequestId id, int attempt, const std::string& worker,
+             scheduling::Outcome outcome) const;
+  void health_checked(const std::string& worker, scheduling::Outcome outcome) const;
+
+ private:
+  void write(std::string_view event, scheduling::RequestId id, int attempt,
+             std::string_view text) const;
+
+  Sink sink_;
+};
+
+}  // namespace dispatcher::routing
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -1,30 +1,37 @@
-// The request table between the ports and the scheduler. It turns events into calls of the
-// Scheduler and the Scheduler's actions into calls of the ports, and keeps the promises that the
-// simulator kept for the scheduler: one end for each send, time-outs at the client's deadline, and
-// the first success straight to the client.
+// Routes requests: turns events of the ports into calls of the scheduler, and the scheduler's
+// actions into calls of the ports. The scheduler relies on these rules: each attempt that it sends
+// ends exactly once, open attempts time out at the client's deadline, and the first success goes
+// straight to the client.
+//
+// Single-threaded. An event that a port reports while another event is handled is queued.
 #pragma once
 
-#include <deque>
 #include <functional>
+#include <optional>
+#include <string>
 #include <unordered_map>
-#include <unordered_set>
+#include <vector>
 
 #include "operations/metrics.h"
+#include "routing/event_queue.h"
 #include "routing/ports.h"
+#include "routing/request_table.h"
+#include "routing/request_trace.h"
 #include "transport/deadlines.h"
 
 namespace dispatcher::routing {
 
 struct NewRequest {
   scheduling::Request request;
-  std::shared_ptr<const RequestPayload> cargo;
+  std::shared_ptr<const RequestPayload> payload;
 };
 
-struct Progress {  // what a worker tells of a job by its own call
+// What a worker reports of a job by a call of its own.
+struct Progress {
   scheduling::RequestId id = 0;
   std::string worker;
   bool started = false;
-  bool progress = false;  // else it has ended
+  bool progress = false;  // neither of both: it has ended, as the fields below say
   scheduling::Outcome outcome = scheduling::Outcome::Failure;
   scheduling::LoadReport report;
   std::string result;
@@ -36,108 +43,122 @@
     ClientPort& clients;
     WorkerPort& workers;
     DiscoveryPort& names;
-    GossipPort* peers = nullptr;  // none: nothing is told or heard
+    GossipPort* peers = nullptr;  // null: no gossip
   };
   using Log = std::function<void(const std::string&)>;
 
+  enum class AdmissionResult {
+    Admitted,
+    Full,      // too many requests are open
+    Duplicate  // a request with this id is open, or ended recently
+  };
+  using Taking = AdmissionResult;  // earlier name
+
+  // What another process needs to go on with a request.
+  struct ReleasableRequest {
+    scheduling::RequestId id = 0;
+    std::size_t job_class = 0;
+    transport::Time ends{};            // the client gives up
+    std::vector<std::string> workers;  // that have accepted the job
+  };
+
+  // The references must outlive the router.
   Router(const scheduling::Settings& settings, std::size_t max_requests,
          const transport::Clock& clock, transport::Deadlines& deadlines, Ports ports,
          operations::Metrics& metrics, Log log);
 
-  // Starts the decisions on the list as last held.
+  // Call before start().
+  void talk_to(GossipPort& peers) { ports_.peers = &peers; }
+  // A trace line for each event of a request; call before start().
+  void trace(Log sink) { trace_.write_to(std::move(sink)); }
+
+  // Starts the scheduler with the cached endpoint list.
   void start(const std::vector<scheduling::WorkerEntry>& known);
+  // For the requests to come.
+  void apply_settings(const scheduling::Settings& settings);
 
-  // `known` learns the command's number before anything is decided: its answer may come inside this
-  // very call.
-  enum class Taking { Taken, Full, Duplicate };
-  Taking take(NewRequest command, const std::function<void(RequestRef)>& known);
-  void client_gone(RequestRef command);
+  // `on_admitted` receives the request's reference before anything is decided, as the answer may
+  // come inside this call.
+  AdmissionResult take(NewRequest request, const std::function<void(RequestRef)>& on_admitted);
+  void client_gone(RequestRef request);
   void attempt_ended(AttemptRef attempt, scheduling::Outcome outcome,
                      const scheduling::LoadReport& report, Reply reply = {});
-  void progress(Progress news);
+  void progress(Progress event);
   void health_check_ended(const std::string& worker, scheduling::Outcome outcome,
                           const scheduling::LoadReport& report);
   void on_endpoint_update(scheduling::EndpointUpdateKind kind,
                           const std::vector<scheduling::WorkerEntry>& entries);
   void on_load_gossip(const std::string& worker, int jobs);
-  void apply_settings(const scheduling::Settings& settings);  // for the commands to come
-  // The other process of this dispatcher, during an upgrade: what it has open, or had a moment ago,
-  // is as good as known here.
-  void elsewhere(const std::vector<scheduling::RequestId>& ids) {
-    elsewhere_.insert(ids.begin(), ids.end());
+
+  // ---- Hot restart ----
+
+  // Requests that the other process of this dispatcher holds or held recently: they are duplicates
+  // here.
+  void add_external_ids(const std::vector<scheduling::RequestId>& ids) {
+    table_.add_external_ids(ids);
   }
-  bool knows(scheduling::RequestId id) const { return by_id_.contains(id); }
-  std::vector<scheduling::RequestId> ids() const;  // open here, or a moment ago
-  // A command that another process goes on with, to its answer: nobody is told anything of it here.
-  // What is to know of it, or nothing where that cannot be: it is over, or an attempt is not out,
-  // or not yet taken.
-  struct ReleasableRequest {
-    scheduling::RequestId id = 0;
-    std::size_t job_class = 0;
-    transport::Time ends{};
-    std::vector<std::string> workers;
-  };
-  std::vector<RequestRef> open_refs() const;
-  std::optional<ReleasableRequest> releasable(RequestRef command) const;
-  void release(RequestRef command);
-  void on_request_accepted(std::function<void(scheduling::RequestId)> tell) {
-    tell_taken_ = std::move(tell);
+  bool knows(scheduling::RequestId id) const { return table_.knows(id); }
+  // Of requests that are open here, or ended recently.
+  std::vector<scheduling::RequestId> known_ids() const { return table_.known_ids(); }
+  std::vector<RequestRef> open_refs() const { return table_.unanswered(); }
+  // Nothing: the request is over, or no worker has accepted its job, or an attempt is not accepted
+  // yet, or a body passes through.
+  std::optional<ReleasableRequest> releasable(RequestRef request) const;
+  // Another process goes on with the request: workers and client hear nothing from here.
+  void release(RequestRef request);
+  void on_request_accepted(std::function<void(scheduling::RequestId)> callback) {
+    on_request_accepted_ = std::move(callback);
   }
-  void fail_all();  // the program must end: what is still open gets its answer now
 
-  void talk_to(GossipPort& peers) { ports_.peers = &peers; }  // before start()
-  // A line for each thing that happens to a command, for testbed/fleet_table.py; the one log that
-  // grows with traffic.
-  void trace(Log trace) { trace_ = std::move(trace); }
+  // Answers all open requests now, as the program is about to end.
+  void fail_all();
 
-  std::size_t open_requests() const { return open_; }
-  bool avoids(const std::string& worker) const {
-    return dispatcher_ && dispatcher_->avoids(worker);
-  }
-  // Of a command that was taken off the sockets and never came this far.
+  std::size_t open_requests() const { return table_.unanswered_count(); }
+  bool avoids(const std::string& worker) const { return scheduler_ && scheduler_->avoids(worker); }
+  // Counts a request that was rejected before it reached the router.
   void count_rejected(std::size_t job_class) { ++metrics_.of(job_class).throttled; }
 
  private:
-  struct Attempt {
-    std::string worker;
-    bool open = true;
-    bool ran = false;  // ran: it has ended so that it may have
-  };
-  struct Command {
-    scheduling::RequestId id = 0;
-    std::size_t job_class = 0;
-    int most_attempts = 1;  // as the settings were when it came
-    std::shared_ptr<const RequestPayload> cargo;
-    transport::Time ends{};
-    bool answered = false;
-    std::vector<Attempt> attempts;
-    transport::Deadlines::Handle deadline;
-  };
+  using Actions = std::vector<scheduling::Action>;
 
-  void note(const char* what, scheduling::RequestId id, int attempt, std::string_view text,
-            const char* more = "") const;
-  void post(std::function<void()> event);
-  void act(std::vector<scheduling::Action>& actions);
+  // Calls the scheduler and carries out the actions that it returns.
+  template <class Call>
+  void run_scheduler(Call call) {
+    Actions actions;
+    call(*scheduler_, actions);
+    for (const scheduling::Action& action : actions)
+      carry_out(action);
+  }
   void carry_out(const scheduling::Action& action);
-  void send(const scheduling::Action& action);
+  void set_timer(transport::Time at);
+
+  // Answers. Each request gets exactly one.
   void answer(const scheduling::Action& action);
+  void reject(RequestRef ref, const OpenRequest& request, scheduling::Duration retry_after);
+  void fail(RequestRef ref, const OpenRequest& request);
+  void fail_or_reject(RequestRef ref, const OpenRequest& request);
+  void drop_client(RequestRef ref);
+  bool may_have_run(RequestRef ref, const OpenRequest& request) const;
+  void close_if_answered(RequestRef ref);
+
+  // The life cycle of an attempt (router_attempts.cpp).
+  void send(const scheduling::Action& action);
+  bool may_send(const OpenRequest& request) const;
   void cancel(const scheduling::Action& action);
+  void on_job_event(Progress event);
   void end_attempt(AttemptRef ref, scheduling::Outcome outcome,
                    const scheduling::LoadReport& report, Reply reply);
-  bool may_have_run(RequestRef ref, const Command& c) const;
-  void answer_unserved(RequestRef ref,
-                       Command& c);  // failed, or refused where nothing of it has begun
-  bool spent(const Command& c) const;
-  void give_up_spent(RequestRef ref, Command& c, scheduling::Outcome outcome);
-  void tell_end(scheduling::RequestId id, int attempt, bool final, const std::string& worker,
-                scheduling::Outcome outcome, const scheduling::LoadReport& report);
-  void time_up(RequestRef ref);
-  void count(const std::string& worker, int more);
-  void close_answered(RequestRef ref, Command& c);
-  void reject(RequestRef ref, Command& c, scheduling::Duration retry_after);
-  void fail(RequestRef ref, Command& c);
-  void drop_client(RequestRef ref);
-  Command* by_id(scheduling::RequestId id, RequestRef& ref);
+  void answer_served(RequestRef ref, OpenRequest& request, Reply reply);
+  void answer_unrepeatable(RequestRef ref, OpenRequest& request, scheduling::Outcome outcome);
+  void report_attempt_end(const scheduling::AttemptEnd& end);
+  void report_not_sent(scheduling::RequestId id, int attempt, bool final,
+                       const std::string& worker);
+  void forget_open_attempts(RequestRef ref, OpenRequest& request);
+  void on_deadline(RequestRef ref);
+  void end_overdue_attempts(RequestRef ref);
+  void end_overdue_attempt(AttemptRef ref, const OpenRequest& request);
+  void answer_overdue(RequestRef ref);
+  void count_attempts(const std::string& worker, int change);
 
   scheduling::Settings settings_;
   const transport::Clock& clock_;
@@ -145,18 +166,12 @@
   Ports ports_;
   operations::Metrics& metrics_;
   Log log_;
-  Log trace_;
-  mutable transport::SlotTable<Command> table_;
-  std::unordered_map<scheduling::RequestId, RequestRef>
-      by_id_;  // also of commands that ended a moment ago
-  std::unordered_set<scheduling::RequestId> elsewhere_;
-  std::function<void(scheduling::RequestId)> tell_taken_;
-  std::deque<scheduling::RequestId> ended_;  // the ids of those, the longest ended first
-  std::optional<scheduling::Scheduler> dispatcher_;
-  std::deque<std::function<void()>> events_;
-  bool running_ = false;
-  std::size_t open_ = 0;
-  std::unordered_map<std::string, int> at_;  // open attempts, by worker
+  RequestTrace trace_;
+  RequestTable table_;
+  EventQueue events_;
+  std::optional<scheduling::Scheduler> scheduler_;
+  std::function<void(scheduling::RequestId)> on_request_accepted_;
+  std::unordered_map<std::string, int> open_attempts_;  // by worker
 };
 
 }  // namespace dispatcher::routing
--- /dev/null
+++ b/src/routing/router_attempts.cpp
@@ -0,0 +1,198 @@
+// The life cycle of an attempt: sent, started, ended, overdue.
+#include <utility>
+
+#include "routing/router.h"
+
+namespace dispatcher::routing {
+
+using scheduling::Action;
+using scheduling::Duration;
+using scheduling::LoadReport;
+using scheduling::Outcome;
+using scheduling::Scheduler;
+
+namespace {
+
+bool proves_not_run(Outcome outcome) {
+  return outcome == Outcome::Rejected || outcome == Outcome::ConnectFailed ||
+         outcome == Outcome::NotSent;
+}
+
+}  // namespace
+
+void Router::send(const Action& action) {
+  std::string worker(action.worker);
+  std::optional<RequestRef> ref = table_.find_id(action.id);
+  if (!ref) {
+    return events_.post(
+        [=, this, id = action.id] { report_not_sent(id, 0, /*final=*/true, worker); });
+  }
+  OpenRequest& request = *table_.find(*ref);
+  int attempt = static_cast<int>(request.attempts.size());
+  bool sent = may_send(request);
+  request.attempts.push_back({.worker = worker, .open = sent});
+  if (sent) {
+    trace_.sent(action.id, attempt, worker);
+    count_attempts(worker, 1);
+    return ports_.workers.submit({*ref, attempt}, worker, request.payload, request.expires_at);
+  }
+  events_.post([=, this, id = action.id, final = request.answered] {
+    report_not_sent(id, attempt, final, worker);
+  });
+}
+
+bool Router::may_send(const OpenRequest& request) const {
+  return !request.answered && clock_.now() < request.expires_at &&
+         std::ssize(request.attempts) < request.max_attempts && !request.cannot_be_resent();
+}
+
+// The attempt ends later, once the worker has been told.
+void Router::cancel(const Action& action) {
+  std::optional<RequestRef> ref = table_.find_id(action.id);
+  if (ref && table_.find(*ref)->is_open(action.attempt))
+    ports_.workers.cancel({*ref, action.attempt});
+}
+
+void Router::on_job_event(Progress event) {
+  std::optional<RequestRef> ref = table_.find_id(event.id);
+  if (!ref)
+    return;  // ended or never known: workers repeat events, and send some late
+  OpenRequest& request = *table_.find(*ref);
+  std::optional<int> attempt = request.open_attempt_at(event.worker);
+  if (!attempt)
+    return;
+  if (!event.started && !event.progress) {
+    ports_.workers.forget_attempt({*ref, *attempt});
+    return end_attempt({*ref, *attempt}, event.outcome, event.report,
+                       {std::move(event.result), {}, {}, {}});
+  }
+  request.attempts[*attempt].may_have_run = true;
+  if (event.started)
+    trace_.started(event.id, *attempt, event.worker);
+  auto kind =
+      event.started ? scheduling::JobEventKind::Started : scheduling::JobEventKind::Progress;
+  run_scheduler([&](Scheduler& scheduler, Actions& actions) {
+    scheduler.on_job_event(clock_.now(), event.id, *attempt, event.worker, kind, actions);
+  });
+}
+
+void Router::end_attempt(AttemptRef ref, Outcome outcome, const LoadReport& report, Reply reply) {
+  OpenRequest* request = table_.find(ref.command);
+  bool open = request && request->is_open(ref.attempt);
+  bool serves = open && outcome == Outcome::Success && !request->answered;
+  if (reply.rest && !serves)
+    reply.rest->abandon();  // nobody reads it
+  if (!open)
+    return;
+  Attempt& attempt = request->attempts[ref.attempt];
+  attempt.open = false;
+  attempt.may_have_run |= !proves_not_run(outcome);
+  count_attempts(attempt.worker, -1);
+  trace_.ended(request->id, ref.attempt, attempt.worker, outcome);
+  if (serves) {
+    answer_served(ref.command, *request, std::move(reply));
+  } else if (!request->answered && request->cannot_be_resent()) {
+    answer_unrepeatable(ref.command, *request, outcome);
+  }
+  std::string worker = attempt.worker;  // the request may be removed during the call
+  report_attempt_end({request->id, ref.attempt, request->answered, worker, outcome, report});
+  close_if_answered(ref.command);
+}
+
+void Router::answer_served(RequestRef ref, OpenRequest& request, Reply reply) {
+  trace_.answered(request.id, "served");
+  table_.mark_answered(request);
+  ++metrics_.of(request.job_class).fulfilled;
+  ports_.clients.served(ref, std::move(reply));
+}
+
+// The upload cannot be sent again, so the answer does not wait for the scheduler, which would
+// choose another worker. A job begins with the last byte of its upload: an earlier end permits to
+// reject the request, whatever its class.
+void Router::answer_unrepeatable(RequestRef ref, OpenRequest& request, Outcome outcome) {
+  bool not_begun = outcome == Outcome::ConnectFailed || outcome == Outcome::Rejected ||
+                   (outcome == Outcome::Cancelled && request.has_unfinished_upload());
+  table_.mark_answered(request);
+  if (not_begun) {
+    reject(ref, request, Duration(0));
+  } else {
+    fail(ref, request);
+  }
+}
+
+void Router::report_attempt_end(const scheduling::AttemptEnd& end) {
+  run_scheduler([&](Scheduler& scheduler, Actions& actions) {
+    scheduler.on_attempt_end(clock_.now(), end, actions);
+  });
+}
+
+void Router::report_not_sent(scheduling::RequestId id, int attempt, bool final,
+                             const std::string& worker) {
+  report_attempt_end({id, attempt, final, worker, Outcome::NotSent, {}});
+}
+
+// The scheduler's cancels of these attempts then reach nobody.
+void Router::forget_open_attempts(RequestRef ref, OpenRequest& request) {
+  for (int i = 0; i < std::ssize(request.attempts); ++i) {
+    Attempt& attempt = request.attempts[i];
+    if (!std::exchange(attempt.open, false))
+      continue;
+    ports_.workers.forget_attempt({ref, i});
+    count_attempts(attempt.worker, -1);
+  }
+}
+
+// ---- The client's deadline ----
+
+// Open attempts time out. The scheduler usually answers then; where it does not, the client is
+// answered here and the scheduler is told that the client has left.
+void Router::on_deadline(RequestRef ref) {
+  events_.post([this, ref] {
+    end_overdue_attempts(ref);
+    events_.post([this, ref] { answer_overdue(ref); });
+  });
+}
+
+void Router::end_overdue_attempts(RequestRef ref) {
+  for (int i = 0;; ++i) {
+    // Anew each time: the end of an attempt may remove the request.
+    const OpenRequest* request = table_.find(ref);
+    if (!request || i >= std::ssize(request->attempts))
+      return;
+    if (request->attempts[i].open)
+      end_overdue_attempt({ref, i}, *request);
+  }
+}
+
+void Router::end_overdue_attempt(AttemptRef ref, const OpenRequest& request) {
+  // An unfinished upload says nothing of its worker.
+  bool unfinished = request.has_unfinished_upload();
+  bool begun = !unfinished && ports_.workers.fully_sent(ref);
+  if (begun) {
+    ports_.workers.forget_attempt(ref);
+    return end_attempt(ref, Outcome::TimedOut, {}, {});
+  }
+  ports_.workers.cancel(ref);  // its connection could still come up
+  end_attempt(ref, unfinished ? Outcome::Cancelled : Outcome::NotSent, {}, {});
+}
+
+void Router::answer_overdue(RequestRef ref) {
+  const OpenRequest* request = table_.find(ref);
+  if (!request || request->answered)
+    return;
+  log_("a command reached its deadline without the module's answer");
+  fail_or_reject(ref, *request);
+  drop_client(ref);
+}
+
+void Router::count_attempts(const std::string& worker, int change) {
+  if (!ports_.peers)
+    return;
+  int& count = open_attempts_[worker];
+  count += change;
+  ports_.peers->announce(worker, count);
+  if (count == 0)
+    open_attempts_.erase(worker);
+}
+
+}  // namespace dispatcher::routing
