--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -9,10 +9,10 @@
 using scheduling::Outcome;
 using scheduling::Scheduler;
 
-Router::Router(const scheduling::Settings& settings, std::size_t max_requests,
+Router::Router(scheduling::Settings settings, std::size_t max_requests,
                const transport::Clock& clock, transport::Deadlines& deadlines, Ports ports,
                operations::Metrics& metrics, Log log)
-    : settings_(settings),
+    : settings_(std::move(settings)),
       clock_(clock),
       deadlines_(deadlines),
       ports_(ports),
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -63,9 +63,8 @@
   };
 
   // The references must outlive the router.
-  Router(const scheduling::Settings& settings, std::size_t max_requests,
-         const transport::Clock& clock, transport::Deadlines& deadlines, Ports ports,
-         operations::Metrics& metrics, Log log);
+  Router(scheduling::Settings settings, std::size_t max_requests, const transport::Clock& clock,
+         transport::Deadlines& deadlines, Ports ports, operations::Metrics& metrics, Log log);
 
   // Call before start().
   void talk_to(GossipPort& peers) { ports_.peers = &peers; }
