--- a/src/features/features.cpp
+++ b/src/features/features.cpp
@@ -2,17 +2,18 @@
 
 #include <google/protobuf/text_format.h>
 
+#include <array>
+#include <cstdint>
 #include <fstream>
 #include <iterator>
 
-#include "fleet/membership_view.h"
+#include "fleet/endpoint.h"
 #include "settings/parse_error_collector.h"
 
 namespace dispatcher::features {
 namespace {
 
 using google::protobuf::TextFormat;
-
 using settings::ParseErrorCollector;
 
 struct Range {
@@ -20,91 +21,122 @@
   std::uint64_t low;
   std::uint64_t high;
 };
-// Lower ends keep the program working, higher ends keep sums of them in range.
-constexpr Range kStreaming[] = {
+// wire: field names of proto/features.proto. The lower ends keep the program working, the higher
+// ones keep sums of the values in range.
+constexpr std::array<Range, 6> kStreamingRanges{{
     {"most_body_bytes", 1, std::uint64_t{1} << 40},
     {"memory_ceiling_mb", 1, 1 << 16},
     {"window_kb", 16, 1 << 20},
     {"replay_bytes", 0, 1 << 30},
     {"stall_ms", 100, 3'600'000},
     {"longest_transfer_ms", 100, 86'400'000},
+}};
+constexpr std::array<Range, 3> kFleetRanges{{
+    {"period_ms", 50, 60'000},
+    {"answer_ms", 10, 30'000},
+    {"forget_s", 10, 604'800},
+}};
+
+constexpr int kNotRepeated = -1;  // index of a field that is not a list
+
+// Adds errors at the places of a message's fields.
+class MessageChecker {
+ public:
+  MessageChecker(const google::protobuf::Message& message,
+                 const TextFormat::ParseInfoTree* locations, ParseErrorCollector& errors)
+      : message_(message), locations_(locations), errors_(errors) {}
+
+  void add_error(const char* field, int index, const std::string& reason) {
+    auto at = locations_->GetLocation(descriptor(field), index);
+    errors_.AddError(at.line, at.column, reason);
+  }
+
+  void check_range(const Range& range) {
+    std::uint64_t value = unsigned_value(descriptor(range.field));
+    if (value >= range.low && value <= range.high)
+      return;
+    add_error(range.field, kNotRepeated,
+              std::string(range.field) + " must be from " + std::to_string(range.low) + " to " +
+                  std::to_string(range.high));
+  }
+
+  void check_endpoint(const char* field, int index, const std::string& text) {
+    if (!fleet::parse_endpoint(text))
+      add_error(field, index, std::string(field) + " must be ADDRESS:PORT, in digits");
+  }
+
+ private:
+  const google::protobuf::FieldDescriptor* descriptor(const char* field) const {
+    return message_.GetDescriptor()->FindFieldByName(field);
+  }
+  std::uint64_t unsigned_value(const google::protobuf::FieldDescriptor* field) const {
+    const google::protobuf::Reflection& reflection = *message_.GetReflection();
+    if (field->cpp_type() == google::protobuf::FieldDescriptor::CPPTYPE_UINT64)
+      return reflection.GetUInt64(message_, field);
+    return reflection.GetUInt32(message_, field);
+  }
+
+  const google::protobuf::Message& message_;
+  const TextFormat::ParseInfoTree* locations_;
+  ParseErrorCollector& errors_;
 };
 
-constexpr Range kFleet[] = {
-    {"period_ms", 50, 60'000}, {"answer_ms", 10, 30'000}, {"forget_s", 10, 604'800}};
-
-template <std::size_t N>
-void check_ranges(const google::protobuf::Message& m, const Range (&ranges)[N],
-                  const TextFormat::ParseInfoTree* where, ParseErrorCollector& faults) {
-  for (const Range& r : ranges) {
-    const auto* field = m.GetDescriptor()->FindFieldByName(r.field);
-    bool wide = field->cpp_type() == google::protobuf::FieldDescriptor::CPPTYPE_UINT64;
-    std::uint64_t value =
-        wide ? m.GetReflection()->GetUInt64(m, field) : m.GetReflection()->GetUInt32(m, field);
-    if (value >= r.low && value <= r.high)
-      continue;
-    auto at = where->GetLocation(field, -1);
-    faults.AddError(at.line, at.column,
-                    std::string(r.field) + " must be from " + std::to_string(r.low) + " to " +
-                        std::to_string(r.high));
+void check_streaming(const Streaming& streaming, MessageChecker checker) {
+  for (const Range& range : kStreamingRanges)
+    checker.check_range(range);
+  std::uint64_t window_bytes = std::uint64_t{streaming.window_kb()} << 10;
+  std::uint64_t ceiling_bytes = std::uint64_t{streaming.memory_ceiling_mb()} << 20;
+  if (window_bytes > ceiling_bytes) {
+    const char* field = streaming.has_window_kb() ? "window_kb" : "memory_ceiling_mb";
+    checker.add_error(field, kNotRepeated, "window_kb is more than all of memory_ceiling_mb");
   }
 }
 
-void check_streaming(const Streaming& s, const TextFormat::ParseInfoTree* where,
-                     ParseErrorCollector& faults) {
-  check_ranges(s, kStreaming, where, faults);
-  if (std::uint64_t{s.window_kb()} << 10 > std::uint64_t{s.memory_ceiling_mb()} << 20) {
-    const char* field = s.has_window_kb() ? "window_kb" : "memory_ceiling_mb";
-    auto at = where->GetLocation(s.GetDescriptor()->FindFieldByName(field), -1);
-    faults.AddError(at.line, at.column, "window_kb is more than all of memory_ceiling_mb");
+void check_fleet(const Fleet& fleet, MessageChecker checker) {
+  for (const Range& range : kFleetRanges)
+    checker.check_range(range);
+  for (int i = 0; i < fleet.seed_size(); ++i)
+    checker.check_endpoint("seed", i, fleet.seed(i));
+  if (fleet.has_advertise())
+    checker.check_endpoint("advertise", kNotRepeated, fleet.advertise());
+  if (2 * std::uint64_t{fleet.answer_ms()} > fleet.period_ms()) {
+    const char* field = fleet.has_answer_ms() ? "answer_ms" : "period_ms";
+    checker.add_error(field, kNotRepeated,
+                      "answer_ms is more than half of period_ms: the others could not try in time");
   }
 }
 
-void check_fleet(const Fleet& f, const TextFormat::ParseInfoTree* where,
-                 ParseErrorCollector& faults) {
-  check_ranges(f, kFleet, where, faults);
-  auto address = [&](const char* field, int index, const std::string& text) {
-    if (fleet::parse_endpoint(text))
-      return;
-    auto at = where->GetLocation(f.GetDescriptor()->FindFieldByName(field), index);
-    faults.AddError(at.line, at.column, std::string(field) + " must be ADDRESS:PORT, in digits");
+void check(const Features& features, TextFormat::ParseInfoTree& locations,
+           ParseErrorCollector& errors) {
+  auto nested = [&](const char* field) {
+    return locations.GetTreeForNested(features.GetDescriptor()->FindFieldByName(field),
+                                      kNotRepeated);
   };
-  for (int i = 0; i < f.seed_size(); ++i)
-    address("seed", i, f.seed(i));
-  if (f.has_advertise())
-    address("advertise", -1, f.advertise());
-  if (2 * std::uint64_t{f.answer_ms()} <= f.period_ms())
-    return;
-  auto at = where->GetLocation(
-      f.GetDescriptor()->FindFieldByName(f.has_answer_ms() ? "answer_ms" : "period_ms"), -1);
-  faults.AddError(at.line, at.column,
-                  "answer_ms is more than half of period_ms: the others could not try in time");
+  if (features.has_streaming()) {
+    check_streaming(features.streaming(),
+                    MessageChecker(features.streaming(), nested("streaming"), errors));
+  }
+  if (features.has_fleet())
+    check_fleet(features.fleet(), MessageChecker(features.fleet(), nested("fleet"), errors));
 }
 
 }  // namespace
 
 Features read_features(const std::string& text, const std::string& name) {
-  ParseErrorCollector faults(name);
-  TextFormat::ParseInfoTree where;
+  ParseErrorCollector errors(name);
+  TextFormat::ParseInfoTree locations;
   TextFormat::Parser parser;
-  parser.RecordErrorsTo(&faults);
-  parser.WriteLocationsTo(&where);
-  Features all;
-  bool parsed = parser.ParseFromString(text, &all);
-  if (parsed && all.has_streaming()) {
-    check_streaming(all.streaming(),
-                    where.GetTreeForNested(all.GetDescriptor()->FindFieldByName("streaming"), -1),
-                    faults);
-  }
-  if (parsed && all.has_fleet()) {
-    check_fleet(all.fleet(),
-                where.GetTreeForNested(all.GetDescriptor()->FindFieldByName("fleet"), -1), faults);
-  }
-  if (!faults.text().empty())
-    throw BadFeatures(faults.text());
+  parser.RecordErrorsTo(&errors);
+  parser.WriteLocationsTo(&locations);
+  Features features;
+  bool parsed = parser.ParseFromString(text, &features);
+  if (parsed)
+    check(features, locations, errors);
+  if (!errors.text().empty())
+    throw BadFeatures(errors.text());
   if (!parsed)
     throw BadFeatures(name + ":1:1: this is no features file");
-  return all;
+  return features;
 }
 
 Features read_features_file(const std::string& path) {
--- a/src/features/features.h
+++ b/src/features/features.h
@@ -1,5 +1,5 @@
-// The project's own settings: a features file in protobuf text format, read and checked. The schema
-// is proto/features.proto.
+// Reads and checks the features file: the project's own settings in protobuf text format after
+// proto/features.proto.
 #pragma once
 
 #include <stdexcept>
@@ -9,11 +9,12 @@
 
 namespace dispatcher::features {
 
-struct BadFeatures : std::runtime_error {  // one line for each fault: file:line:column: what
+// One line for each fault: file:line:column: reason.
+struct BadFeatures : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// `name` stands in the errors. Throws BadFeatures with every fault that was found.
+// `name`: of the file, for the errors. Both throw BadFeatures with every fault found.
 Features read_features(const std::string& text, const std::string& name);
 Features read_features_file(const std::string& path);
 
--- a/src/settings/parse_error_collector.h
+++ b/src/settings/parse_error_collector.h
@@ -1,26 +1,30 @@
-// What is wrong with a file in protobuf text format, as editors read it: file:line:column: what.
+// Collects the errors of a file in protobuf text format, one a line, as editors read them:
+// file:line:column: reason.
 #pragma once
 
 #include <google/protobuf/io/tokenizer.h>
 
 #include <string>
+#include <utility>
 
 namespace dispatcher::settings {
 
-// Protobuf counts lines and columns from 0, editors from 1.
 class ParseErrorCollector final : public google::protobuf::io::ErrorCollector {
  public:
-  explicit ParseErrorCollector(const std::string& name) : name_(name) {}
-  void AddError(int line, int column, const std::string& what) override {
+  explicit ParseErrorCollector(std::string name) : name_(std::move(name)) {}
+
+  // `line` and `column` count from 0, as protobuf has them; the text counts from 1.
+  void AddError(int line, int column, const std::string& reason) override {
     if (!text_.empty())
       text_ += '\n';
     text_ +=
-        name_ + ':' + std::to_string(line + 1) + ':' + std::to_string(column + 1) + ": " + what;
+        name_ + ':' + std::to_string(line + 1) + ':' + std::to_string(column + 1) + ": " + reason;
   }
-  // A warning is an error here: what somebody wrote and nobody reads is a mistake.
-  void AddWarning(int line, int column, const std::string& what) override {
-    AddError(line, column, what);
+  // A warning counts as an error: a value that is written but not read is a mistake.
+  void AddWarning(int line, int column, const std::string& reason) override {
+    AddError(line, column, reason);
   }
+  // Empty: no error.
   const std::string& text() const { return text_; }
 
  private:
