--- a/src/operations/admin_handler.cpp
+++ b/src/operations/admin_handler.cpp
@@ -1,20 +1,35 @@
 #include "operations/admin_handler.h"
 
+#include <algorithm>
 #include <optional>
+#include <string_view>
 
 namespace dispatcher::operations {
 namespace {
 
 using protocol::HttpError;
 
-int hex(char c) {
-  if (c >= '0' && c <= '9')
-    return c - '0';
-  if (c >= 'a' && c <= 'f')
-    return c - 'a' + 10;
-  if (c >= 'A' && c <= 'F')
-    return c - 'A' + 10;
-  return -1;
+constexpr int kFirstPrintable = ' ';
+
+// Nothing where the character is no hexadecimal digit.
+std::optional<int> hex_digit(char digit) {
+  if (digit >= '0' && digit <= '9')
+    return digit - '0';
+  if (digit >= 'a' && digit <= 'f')
+    return digit - 'a' + 10;
+  if (digit >= 'A' && digit <= 'F')
+    return digit - 'A' + 10;
+  return std::nullopt;
+}
+
+// Decodes the two digits after a percent sign. Throws protocol::HttpError 400, also for a control
+// character.
+char unescape_digits(std::string_view digits) {
+  auto high = digits.size() == 2 ? hex_digit(digits[0]) : std::nullopt;
+  auto low = high ? hex_digit(digits[1]) : std::nullopt;
+  if (!low || *high * 16 + *low < kFirstPrintable)
+    throw HttpError(400, "badly escaped");
+  return static_cast<char>(*high * 16 + *low);
 }
 
 std::string unescape(std::string_view text) {
@@ -24,17 +39,54 @@
       out += text[i];
       continue;
     }
-    int high = i + 2 < text.size() ? hex(text[i + 1]) : -1;
-    int low = high >= 0 ? hex(text[i + 2]) : -1;
-    if (low < 0 || high * 16 + low < ' ')
-      throw HttpError(400, "badly escaped");
-    out += static_cast<char>(high * 16 + low);
+    out += unescape_digits(text.substr(i + 1, 2));
     i += 2;
   }
   return out;
 }
 
-void line(std::string& out, std::string_view name, std::uint64_t value) {
+enum class Call { Health, Stats, Fleet, Cordon, Uncordon };
+
+// Nothing where there is no such call.
+std::optional<Call> call_of(std::string_view path) {
+  if (path == "/admin/health")  // wire: /admin/health
+    return Call::Health;
+  if (path == "/admin/stats")  // wire: /admin/stats
+    return Call::Stats;
+  if (path == "/admin/fleet")  // wire: /admin/fleet
+    return Call::Fleet;
+  if (path == "/admin/cordon")  // wire: /admin/cordon
+    return Call::Cordon;
+  if (path == "/admin/uncordon")  // wire: /admin/uncordon
+    return Call::Uncordon;
+  return std::nullopt;
+}
+
+std::string_view method_of(Call call) {
+  return call == Call::Cordon || call == Call::Uncordon ? "POST" : "GET";
+}
+
+Answer execute(Call call, const std::string& target, AdminOperations& operations) {
+  bool known = false;
+  switch (call) {
+    case Call::Health:
+      return operations.healthy() ? Answer{200, "ready"} : Answer{503, "not ready"};
+    case Call::Stats:
+      return {200, operations.stats()};
+    case Call::Fleet:
+      return {200, operations.fleet()};
+    case Call::Cordon:
+      known = operations.cordon(query_value(target, "id"));  // wire: id
+      break;
+    case Call::Uncordon:
+      known = operations.uncordon(query_value(target, "id"));  // wire: id
+      break;
+  }
+  return known ? Answer{200, "ok"} : Answer{404, "no such instance"};
+}
+
+// wire: all statistics names begin with dispatcher.
+void write_line(std::string& out, std::string_view name, std::uint64_t value) {
   out.append("dispatcher.").append(name).append("=").append(std::to_string(value)).append("\n");
 }
 
@@ -43,8 +95,9 @@
 std::string query_value(const std::string& target, const std::string& name) {
   std::optional<std::string> found;
   std::size_t mark = target.find('?');
-  std::string_view query =
-      mark == std::string::npos ? "" : std::string_view(target).substr(mark + 1);
+  std::string_view query;
+  if (mark != std::string::npos)
+    query = std::string_view(target).substr(mark + 1);
   while (!query.empty()) {
     std::string_view pair = query.substr(0, query.find('&'));
     query.remove_prefix(std::min(query.size(), pair.size() + 1));
@@ -60,56 +113,46 @@
   return *found;
 }
 
-Answer answer_call(const protocol::Message& call, AdminOperations& desk) try {
-  std::string path = call.target.substr(0, call.target.find('?'));
-  bool health = path == "/admin/health";
-  bool stats = path == "/admin/stats";
-  bool back = path == "/admin/uncordon";
-  std::string view = path == "/admin/fleet" ? desk.fleet() : "";
-  if (!health && !stats && !back && view.empty() && path != "/admin/cordon")
+Answer answer_call(const protocol::Message& call, AdminOperations& operations) try {
+  std::optional<Call> known = call_of(call.target.substr(0, call.target.find('?')));
+  // Without the membership view the call does not exist.
+  if (!known || (*known == Call::Fleet && operations.fleet().empty()))
     return {404, "no such call"};
-  if (call.method != (health || stats || !view.empty() ? "GET" : "POST"))
+  if (call.method != method_of(*known))
     return {405, "wrong method"};
-  if (!view.empty())
-    return {200, view};
-  if (health)
-    return desk.healthy() ? Answer{200, "ready"} : Answer{503, "not ready"};
-  if (stats)
-    return {200, desk.stats()};
-  std::string id = query_value(call.target, "id");
-  bool known = back ? desk.uncordon(id) : desk.cordon(id);
-  return known ? Answer{200, "ok"} : Answer{404, "no such instance"};
+  return execute(*known, call.target, operations);
 } catch (const HttpError& e) {
-  return {e.status, std::string(e.what()) + ""};
+  return {e.status, e.what()};
 }
 
-std::string write_stats(const Metrics& f, const std::vector<std::string>& classes,
-                        const Gauges& now) {
+// wire: the names below are those of GET /admin/stats.
+std::string write_stats(const Metrics& metrics, const std::vector<std::string>& classes,
+                        const Gauges& gauges) {
   std::string out;
   for (std::size_t i = 0; i < classes.size(); ++i) {
     if (classes[i].empty())
       continue;
-    Ends ends = i < f.ends.size() ? f.ends[i] : Ends{};
-    std::string of = "operations." + classes[i] + ".";
-    line(out, of + "fulfilled", ends.fulfilled);
-    line(out, of + "throttled", ends.throttled);
-    line(out, of + "faulted", ends.faulted);
+    Ends ends = i < metrics.ends.size() ? metrics.ends[i] : Ends{};
+    std::string prefix = "operations." + classes[i] + ".";
+    write_line(out, prefix + "fulfilled", ends.fulfilled);
+    write_line(out, prefix + "throttled", ends.throttled);
+    write_line(out, prefix + "faulted", ends.faulted);
   }
-  line(out, "relayed", f.relayed);
-  line(out, "open_requests", now.open_requests);
-  line(out, "registry_entries", now.registry_entries);
-  line(out, "out_of_rotation", now.out_of_rotation);
-  line(out, "cfg_accepted", f.cfg_accepted);
-  line(out, "cfg_invalid", f.cfg_invalid);
-  if (!now.fleet)
-    return out;  // a page of the platform's has these and no more
-  line(out, "fleet.alive", now.fleet->alive);
-  line(out, "fleet.suspect", now.fleet->suspect);
-  line(out, "fleet.dead", now.fleet->dead);
-  line(out, "fleet.left", now.fleet->left);
-  line(out, "fleet.changes", now.fleet->changes);
-  line(out, "fleet.sent", now.fleet->sent);
-  line(out, "fleet.dropped", now.fleet->dropped);
+  write_line(out, "relayed", metrics.relayed);
+  write_line(out, "open_requests", gauges.open_requests);
+  write_line(out, "registry_entries", gauges.registry_entries);
+  write_line(out, "out_of_rotation", gauges.out_of_rotation);
+  write_line(out, "cfg_accepted", metrics.cfg_accepted);
+  write_line(out, "cfg_invalid", metrics.cfg_invalid);
+  if (!gauges.fleet)
+    return out;  // the platform's own statistics have no more
+  write_line(out, "fleet.alive", gauges.fleet->alive);
+  write_line(out, "fleet.suspect", gauges.fleet->suspect);
+  write_line(out, "fleet.dead", gauges.fleet->dead);
+  write_line(out, "fleet.left", gauges.fleet->left);
+  write_line(out, "fleet.changes", gauges.fleet->changes);
+  write_line(out, "fleet.sent", gauges.fleet->sent);
+  write_line(out, "fleet.dropped", gauges.fleet->dropped);
   return out;
 }
 
--- a/src/operations/admin_handler.h
+++ b/src/operations/admin_handler.h
@@ -1,55 +1,61 @@
-// The operators' calls, from a whole HTTP message to its answer. No sockets, no clock.
+// Handler of the admin interface, from a complete HTTP message to its answer. No sockets, no clock.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <optional>
 #include <string>
+#include <vector>
 
 #include "operations/metrics.h"
 #include "protocol/http.h"
 
 namespace dispatcher::operations {
 
-// What the calls are about. The second address alone reaches it.
+// What the admin interface operates on; reached from the admin address alone.
 class AdminOperations {
  public:
   virtual ~AdminOperations() = default;
-  virtual bool healthy() const = 0;                    // ready to serve
-  virtual std::string stats() = 0;                     // lines of name=value
-  virtual bool cordon(const std::string& worker) = 0;  // false: no such worker is known
+  virtual bool healthy() const = 0;  // ready to serve
+  virtual std::string stats() = 0;   // lines of name=value
+  // Both return false where no such worker is known.
+  virtual bool cordon(const std::string& worker) = 0;
   virtual bool uncordon(const std::string& worker) = 0;
-  virtual std::string fleet() const {
-    return {};
-  }  // this member's view, as JSON; empty: it keeps none
+  // This member's view of the fleet, as JSON; empty where it keeps none.
+  virtual std::string fleet() const { return {}; }
 };
 
 struct Answer {
   int status = 200;
   std::string body;
 };
-Answer answer_call(const protocol::Message& call, AdminOperations& desk);
+Answer answer_call(const protocol::Message& call, AdminOperations& operations);
 
-// The parameter `name` of a target's query, unescaped. Throws protocol::HttpError 400 where it is
-// missing, empty, given twice or badly escaped: a call that could mean two things must not be
-// guessed.
+// Returns the unescaped parameter `name` of a target's query. Throws protocol::HttpError 400 where
+// it is missing, empty, given twice or badly escaped: an ambiguous call must not be guessed at.
 std::string query_value(const std::string& target, const std::string& name);
 
-struct Gauges {  // as of now
+// Current values, as opposed to the counters of Metrics.
+struct Gauges {
   std::size_t open_requests = 0;
-  std::size_t registry_entries = 0;
-  std::size_t out_of_rotation = 0;
-  struct Fleet {  // the view, where one is kept
-    std::size_t alive = 0;
+  std::size_t registry_entries = 0;  // workers of the endpoint list
+  std::size_t out_of_rotation = 0;   // workers that are cordoned
+  // The membership view of the fleet.
+  struct Fleet {
+    std::size_t alive = 0;  // members, here and in the next three
     std::size_t suspect = 0;
     std::size_t dead = 0;
     std::size_t left = 0;
-    std::uint64_t changes = 0;
-    std::uint64_t sent = 0;
-    std::uint64_t dropped = 0;  // changes of a state; datagrams
+    std::uint64_t changes = 0;  // of a member's state
+    std::uint64_t sent = 0;     // datagrams
+    std::uint64_t dropped = 0;  // datagrams
   };
-  std::optional<Fleet> fleet{};
+  std::optional<Fleet> fleet{};  // empty where the view is off
 };
-// `classes` by the scheduler's numbers; a nameless one is not shown.
+
+// Returns the body of GET /admin/stats. `classes`: names by the scheduler's class numbers; a class
+// without a name is left out.
 std::string write_stats(const Metrics& metrics, const std::vector<std::string>& classes,
-                        const Gauges& now);
+                        const Gauges& gauges);
 
 }  // namespace dispatcher::operations
--- a/src/operations/cordon_list.cpp
+++ b/src/operations/cordon_list.cpp
@@ -1,5 +1,7 @@
 #include "operations/cordon_list.h"
 
+#include <utility>
+
 namespace dispatcher::operations {
 
 using protocol::EndpointUpdate;
@@ -7,92 +9,98 @@
 using scheduling::Readiness;
 using scheduling::Time;
 
-EndpointUpdate CordonList::apply(const EndpointUpdate& news) {
-  if (news.whole)
+namespace {
+
+bool started_after(const WorkerEndpoint& worker, Time time) {
+  return worker.entry.online_since && *worker.entry.online_since > time;
+}
+
+}  // namespace
+
+EndpointUpdate CordonList::apply(const EndpointUpdate& update) {
+  if (update.whole)
     listed_.clear();
-  revision_ = news.revision;
-  EndpointUpdate out{news.revision, news.whole, {}};
-  for (const WorkerEndpoint& l : news.entries) {
-    if (l.entry.readiness == Readiness::Removed) {
-      listed_.erase(l.uid);
-      out.entries.push_back(l);
+  revision_ = update.revision;
+  EndpointUpdate out{update.revision, update.whole, {}};
+  for (const WorkerEndpoint& worker : update.entries) {
+    if (worker.entry.readiness == Readiness::Removed) {
+      listed_.erase(worker.uid);
+      out.entries.push_back(worker);
       continue;
     }
-    listed_[l.uid] = l;
-    // A start after the call out is the one that made it cold: from here on discovery's word counts
-    // again.
-    auto hand = by_hand_.find(l.uid);
-    if (hand != by_hand_.end() && hand->second.back && l.entry.online_since &&
-        *l.entry.online_since > hand->second.since)
+    listed_[worker.uid] = worker;
+    // Discovery has reported the restart during the cordon: its start time counts again.
+    auto hand = by_hand_.find(worker.uid);
+    if (hand != by_hand_.end() && hand->second.back && started_after(worker, hand->second.since))
       by_hand_.erase(hand);
-    out.entries.push_back(seen(l));
+    out.entries.push_back(as_scheduled(worker));
   }
   return out;
 }
 
-// A worker is restarted while it is out, and discovery may tell of that late or not at all:
-// until it does, whoever comes back counts as started with the call back, and gets a cold
-// worker's budget.
-WorkerEndpoint CordonList::seen(const WorkerEndpoint& l) const {
-  WorkerEndpoint s = l;
-  auto hand = by_hand_.find(l.uid);
-  bool by_hand = hand != by_hand_.end();
-  if (by_hand && hand->second.back)
-    s.entry.online_since = hand->second.back;
-  bool out = by_hand && !hand->second.back;
-  bool cold = cold_since_ && s.entry.online_since && *s.entry.online_since > *cold_since_;
-  if ((out || cold) && s.entry.readiness == Readiness::Ready)
-    s.entry.readiness = Readiness::Draining;
-  return s;
+bool CordonList::cordoned(const std::string& uid) const {
+  auto hand = by_hand_.find(uid);
+  return hand != by_hand_.end() && !hand->second.back;
+}
+
+// A worker is restarted while it is cordoned, and discovery may report that late or never. Until it
+// does, an uncordoned worker counts as started when it was uncordoned, and so warms up.
+WorkerEndpoint CordonList::as_scheduled(const WorkerEndpoint& worker) const {
+  WorkerEndpoint scheduled = worker;
+  auto hand = by_hand_.find(worker.uid);
+  if (hand != by_hand_.end() && hand->second.back)
+    scheduled.entry.online_since = hand->second.back;
+  bool held = cold_since_ && started_after(scheduled, *cold_since_);
+  if ((cordoned(worker.uid) || held) && scheduled.entry.readiness == Readiness::Ready)
+    scheduled.entry.readiness = Readiness::Draining;
+  return scheduled;
 }
 
-EndpointUpdate CordonList::all() const {
-  EndpointUpdate heard;
-  for (const auto& [uid, l] : listed_)
-    heard.entries.push_back(seen(l));
-  return heard;
+EndpointUpdate CordonList::full_update() const {
+  EndpointUpdate update;
+  for (const auto& [uid, worker] : listed_)
+    update.entries.push_back(as_scheduled(worker));
+  return update;
 }
 
 EndpointUpdate CordonList::hold_cold(std::optional<Time> since) {
   cold_since_ = since;
-  return all();
+  return full_update();
 }
 
 EndpointUpdate CordonList::inherit(std::map<std::string, ByHand> by_hand) {
   by_hand_ = std::move(by_hand);
-  return all();
+  return full_update();
 }
 
 std::optional<EndpointUpdate> CordonList::cordon(const std::string& uid, Time now) {
-  auto listed = listed_.find(uid);
-  auto hand = by_hand_.find(uid);
-  bool out = hand != by_hand_.end() && !hand->second.back;
-  if (listed == listed_.end() && !out)
+  auto worker = listed_.find(uid);
+  bool already = cordoned(uid);
+  if (worker == listed_.end() && !already)
     return std::nullopt;
-  if (!out)
-    by_hand_[uid] = {now, std::nullopt};
-  EndpointUpdate heard;
-  if (listed != listed_.end())
-    heard.entries.push_back(seen(listed->second));
-  return heard;
+  if (!already)
+    by_hand_[uid] = {.since = now, .back = std::nullopt};
+  EndpointUpdate update;
+  if (worker != listed_.end())
+    update.entries.push_back(as_scheduled(worker->second));
+  return update;
 }
 
 std::optional<EndpointUpdate> CordonList::uncordon(const std::string& uid, Time now) {
-  auto listed = listed_.find(uid);
+  auto worker = listed_.find(uid);
   auto hand = by_hand_.find(uid);
-  if (listed == listed_.end() && hand == by_hand_.end())
+  if (worker == listed_.end() && hand == by_hand_.end())
     return std::nullopt;
-  EndpointUpdate heard;
-  if (hand == by_hand_.end() || hand->second.back)
-    return heard;
+  EndpointUpdate update;
+  if (!cordoned(uid))
+    return update;
   hand->second.back = now;
-  if (listed == listed_.end())
-    return heard;
-  const auto& start = listed->second.entry.online_since;
-  if (start && *start > hand->second.since)
-    by_hand_.erase(hand);  // discovery has told of the restart
-  heard.entries.push_back(seen(listed->second));
-  return heard;
+  if (worker == listed_.end())
+    return update;
+  if (started_after(worker->second, hand->second.since))
+    by_hand_.erase(hand);  // discovery has reported the restart already
+  update.entries.push_back(as_scheduled(worker->second));
+  return update;
 }
 
 }  // namespace dispatcher::operations
--- a/src/operations/cordon_list.h
+++ b/src/operations/cordon_list.h
@@ -1,8 +1,8 @@
-// Discovery's list as last told, and which workers operators have taken out by hand. What the
-// module sees of a worker that is out is an entry that drains: its rule on drains, with its 500
-// ms, then holds unchanged.
+// The endpoint list as discovery last gave it, and the workers that operators have cordoned. To the
+// scheduler a cordoned worker is one that drains, so that its rules for draining apply unchanged.
 #pragma once
 
+#include <cstdint>
 #include <map>
 #include <optional>
 #include <string>
@@ -13,35 +13,36 @@
 
 class CordonList {
  public:
-  // What the scheduler is to hear of discovery's news.
-  protocol::EndpointUpdate apply(const protocol::EndpointUpdate& news);
-  // Both may come twice. They return what the scheduler is to hear; nothing: no such worker is
-  // known, and nothing is remembered of it.
+  // Returns the update for the scheduler.
+  protocol::EndpointUpdate apply(const protocol::EndpointUpdate& update);
+  // Both may be repeated. They return the update for the scheduler; nothing where no such worker is
+  // known, and then nothing is remembered of it.
   std::optional<protocol::EndpointUpdate> cordon(const std::string& uid, scheduling::Time now);
   std::optional<protocol::EndpointUpdate> uncordon(const std::string& uid, scheduling::Time now);
 
+  // By uid, without removed workers.
   const std::map<std::string, protocol::WorkerEndpoint>& listed() const { return listed_; }
   std::int64_t revision() const { return revision_; }
 
-  // While two processes are this dispatcher, workers that started after `since` get nothing from
-  // this one: it does not know what the other has sent there. Nothing: no more. Returns what the
-  // module is to hear.
+  // During a hot restart, workers that started after `since` are left to the other process, since
+  // its requests there are not known here. Nothing ends that. Returns the update for the scheduler.
   protocol::EndpointUpdate hold_cold(std::optional<scheduling::Time> since);
 
   struct ByHand {
-    scheduling::Time since;                // of the call out
-    std::optional<scheduling::Time> back;  // of the call back; none: it is out
+    scheduling::Time since;                // when it was cordoned
+    std::optional<scheduling::Time> back;  // when it was uncordoned; empty: it is cordoned
   };
   const std::map<std::string, ByHand>& by_hand() const { return by_hand_; }
-  protocol::EndpointUpdate inherit(
-      std::map<std::string, ByHand> by_hand);  // in place of what is known here
+  // Replaces all cordons by those of another process. Returns the update for the scheduler.
+  protocol::EndpointUpdate inherit(std::map<std::string, ByHand> by_hand);
 
  private:
-  protocol::EndpointUpdate all() const;
-  protocol::WorkerEndpoint seen(const protocol::WorkerEndpoint& l) const;
+  bool cordoned(const std::string& uid) const;
+  protocol::EndpointUpdate full_update() const;
+  protocol::WorkerEndpoint as_scheduled(const protocol::WorkerEndpoint& worker) const;
 
-  std::map<std::string, protocol::WorkerEndpoint> listed_;  // without those that are gone
-  std::map<std::string, ByHand> by_hand_;                   // outlives every list
+  std::map<std::string, protocol::WorkerEndpoint> listed_;
+  std::map<std::string, ByHand> by_hand_;  // kept while discovery does not list the worker
   std::int64_t revision_ = 0;
   std::optional<scheduling::Time> cold_since_;
 };
--- a/src/operations/log.cpp
+++ b/src/operations/log.cpp
@@ -5,17 +5,18 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
+#include <memory>
 #include <regex>
 
 namespace dispatcher::operations {
 namespace {
 
 constexpr transport::Duration kWindow{10'000};
-constexpr int kLinesAWindow = 20;
-constexpr std::size_t kLongest = 300;
+constexpr int kMaxLinesPerWindow = 20;  // of one kind
+constexpr std::size_t kMaxTextBytes = 300;
 
-// Not registered with spdlog, so that several of one process do not meet. A JSON line gets its time
-// here.
+// The logger is not registered with spdlog, as one process may have several. The pattern opens the
+// object of a JSON line with its time.
 Log::Sink standard_error(LogFormat format) {
   auto logger =
       std::make_shared<spdlog::logger>("", std::make_shared<spdlog::sinks::stderr_sink_st>());
@@ -29,49 +30,53 @@
 }  // namespace
 
 std::vector<std::string> ids_in(const std::string& text) {
-  static const std::regex id(R"(\b(?:[0-9a-f]{16}|(?:[0-9]{1,3}\.){3}[0-9]{1,3}:[0-9]{1,5})\b)");
-  std::vector<std::string> out;
-  for (std::sregex_iterator it(text.begin(), text.end(), id), end; it != end; ++it)
-    out.push_back(it->str());
-  return out;
+  static const std::regex kPattern(
+      R"(\b(?:[0-9a-f]{16}|(?:[0-9]{1,3}\.){3}[0-9]{1,3}:[0-9]{1,5})\b)");
+  std::vector<std::string> ids;
+  std::sregex_iterator end;
+  for (std::sregex_iterator it(text.begin(), text.end(), kPattern); it != end; ++it)
+    ids.push_back(it->str());
+  return ids;
 }
 
 Log::Log(const transport::Clock& clock, LogFormat format, std::string name)
     : Log(clock, standard_error(format), format, std::move(name)) {}
 
 void Log::write(const std::string& kind, const std::string& text) const {
-  if (format_ == LogFormat::Plain)
-    return sink_(kind + ": " + text);
-  auto quoted = [](const std::string& s) {
-    return Json::valueToQuotedString(s.c_str());
+  sink_(format_ == LogFormat::Plain ? kind + ": " + text : json_object(kind, text));
+}
+
+// Without the opening brace and the time, which the sink writes.
+std::string Log::json_object(const std::string& kind, const std::string& text) const {
+  auto quoted = [](const std::string& value) {
+    return Json::valueToQuotedString(value.c_str());
   };
-  std::string line = "\"name\":";
-  line.append(quoted(name_)).append(",\"kind\":").append(quoted(kind)).append(",\"ids\":[");
+  std::string ids;
   for (const std::string& id : ids_in(text)) {
-    if (line.back() != '[')
-      line += ',';
-    line += quoted(id);
+    if (!ids.empty())
+      ids += ',';
+    ids += quoted(id);
   }
-  line.append("],\"text\":").append(quoted(text)).append("}");
-  sink_(line);
+  return "\"name\":" + quoted(name_) + ",\"kind\":" + quoted(kind) + ",\"ids\":[" + ids +
+         "],\"text\":" + quoted(text) + "}";
 }
 
 void Log::line(const std::string& kind, const std::string& text) {
-  Window& w = windows_[kind];
+  Window& window = windows_[kind];
   transport::Time now = clock_.now();
-  if (w.lines == 0 || now - w.since >= kWindow) {
-    if (w.dropped > 0)
-      write(kind, std::to_string(w.dropped) + " more like this were left out");
-    w = {now, 0, 0};
+  if (window.lines == 0 || now - window.since >= kWindow) {
+    if (window.dropped > 0)
+      write(kind, std::to_string(window.dropped) + " more like this were left out");
+    window = {.since = now};
   }
-  if (++w.lines > kLinesAWindow) {
-    ++w.dropped;
+  if (++window.lines > kMaxLinesPerWindow) {
+    ++window.dropped;
     return;
   }
-  std::string clean = text.substr(0, kLongest);
-  // What peers sent may stand in it: a line must stay one line.
+  std::string clean = text.substr(0, kMaxTextBytes);
+  // The text may hold bytes that a peer sent: it must stay one line.
   std::ranges::replace_if(
-      clean, [](unsigned char c) { return c < 32 || c == 127; }, '?');
+      clean, [](unsigned char byte) { return byte < ' ' || byte == '\x7f'; }, '?');
   write(kind, clean);
 }
 
--- a/src/operations/log.h
+++ b/src/operations/log.h
@@ -1,12 +1,13 @@
-// Lines on standard error, each kind limited in its rate so that a storm of one fault cannot fill
-// the disk or hide the others. Plain ones are `KIND: TEXT`; as JSON each is an object with the
-// time, the dispatcher's name, kind, text, and the ids that the text names, so that one order or
-// member can be followed through many processes (dispatcher-testbed follow).
+// Log lines on standard error. The rate of each kind is limited, so that a storm of one fault
+// neither fills the disk nor hides the others. Plain lines are `KIND: TEXT`. JSON lines are objects
+// with time, name, kind, ids and text, where ids are those that the text names, so that one request
+// or member can be followed through many processes (dispatcher-testbed follow).
 #pragma once
 
 #include <functional>
 #include <map>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "transport/clock.h"
@@ -24,25 +25,29 @@
       std::string name = {})
       : clock_(clock), sink_(std::move(sink)), format_(format), name_(std::move(name)) {}
 
-  // `kind` is the first word of the line and what the limit counts by; the on-call page lists them.
+  // `kind`: first word of the line; the rate limit counts by it. docs/on-call.md lists all kinds.
   void line(const std::string& kind, const std::string& text);
-  void trace(const std::string& text);  // of the kind "trace", which has no limit
+  // A line of kind "trace", which has no limit.
+  void trace(const std::string& text);
 
  private:
-  void write(const std::string& kind, const std::string& text) const;
+  // Of the rate limit, for one kind.
   struct Window {
     transport::Time since{};
     int lines = 0;
     int dropped = 0;
   };
+  void write(const std::string& kind, const std::string& text) const;
+  std::string json_object(const std::string& kind, const std::string& text) const;
+
   const transport::Clock& clock_;
   Sink sink_;
   LogFormat format_;
   std::string name_;
-  std::map<std::string, Window> windows_;
+  std::map<std::string, Window> windows_;  // by kind
 };
 
-// Those of orders (16 hexadecimal digits), and addresses with a port, in the order of the text.
+// Request ids (16 hexadecimal digits) and endpoints (address:port) in the order of the text.
 std::vector<std::string> ids_in(const std::string& text);
 
 }  // namespace dispatcher::operations
