--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,52 +1,87 @@
-// Standard input to Host, its replies to standard output. Exits 0 at the end of input, 1 on a
-// malformed line.
+// Program between the simulator and the schedulers: reads lines from standard input, writes the
+// replies to standard output. Exits with 0 at the end of input, with 1 on a malformed line or where
+// the input ends inside a batch.
 #include <unistd.h>
 
+#include <array>
+#include <cstddef>
 #include <cstdio>
+#include <exception>
+#include <string>
+#include <string_view>
 
 #include "simulator_adapter/host.h"
 
 namespace {
 
-bool write_all(const std::string& text) {
-  for (std::size_t done = 0; done < text.size();) {
-    ssize_t n = ::write(STDOUT_FILENO, text.data() + done, text.size() - done);
-    if (n <= 0)
+constexpr std::size_t kChunkBytes = 1 << 16;
+
+bool write_all(std::string_view text) {
+  while (!text.empty()) {
+    ssize_t count = ::write(STDOUT_FILENO, text.data(), text.size());
+    if (count <= 0)
       return false;
-    done += static_cast<std::size_t>(n);
+    text.remove_prefix(static_cast<std::size_t>(count));
   }
   return true;
 }
 
-int run() {
-  dispatcher::simulator_adapter::Host host;
-  std::string buffer;
-  std::size_t line_number = 0;
-  std::array<char, 1 << 16> chunk;
-  for (ssize_t n; (n = ::read(STDIN_FILENO, chunk.data(), chunk.size())) > 0;) {
-    buffer.append(chunk.data(), static_cast<std::size_t>(n));
+void print_error(std::size_t line_number, const char* reason, const std::string& line) {
+  std::fprintf(stderr, "dispatcher_simulator_adapter: line %zu: %s: %.200s\n", line_number, reason,
+               line.c_str());
+}
+
+// Splits the input into lines and passes them to the host.
+class InputReader {
+ public:
+  // Handles all whole lines. False: the program must end with a failure.
+  bool consume(std::string_view bytes) {
+    buffer_.append(bytes);
     std::size_t start = 0;
-    for (std::size_t end; (end = buffer.find('\n', start)) != std::string::npos; start = end + 1) {
-      std::string_view line(buffer.data() + start, end - start);
-      ++line_number;
-      try {
-        if (host.line(line) && !write_all(host.reply()))
-          return 1;
-      } catch (const std::exception& e) {
-        std::fprintf(stderr, "dispatcher_simulator_adapter: line %zu: %s: %.200s\n", line_number,
-                     e.what(), std::string(line).c_str());
-        return 1;
-      }
+    for (std::size_t end = buffer_.find('\n'); end != std::string::npos;
+         end = buffer_.find('\n', start)) {
+      if (!handle_line(std::string_view(buffer_).substr(start, end - start)))
+        return false;
+      start = end + 1;
     }
-    buffer.erase(0, start);
+    buffer_.erase(0, start);
+    return true;
   }
-  if (!buffer.empty() || host.in_batch()) {
-    std::fprintf(stderr,
-                 "dispatcher_simulator_adapter: line %zu: input ends inside a batch: %.200s\n",
-                 line_number + 1, buffer.c_str());
-    return 1;
+
+  // False: the input ended inside a line or a batch.
+  bool finish() const {
+    if (buffer_.empty() && !host_.in_batch())
+      return true;
+    print_error(line_number_ + 1, "input ends inside a batch", buffer_);
+    return false;
+  }
+
+ private:
+  bool handle_line(std::string_view line) {
+    ++line_number_;
+    try {
+      return !host_.line(line) || write_all(host_.reply());
+    } catch (const std::exception& e) {
+      print_error(line_number_, e.what(), std::string(line));
+      return false;
+    }
+  }
+
+  dispatcher::simulator_adapter::Host host_;
+  std::string buffer_;
+  std::size_t line_number_ = 0;
+};
+
+int run() {
+  InputReader input;
+  std::array<char, kChunkBytes> chunk{};
+  ssize_t count = ::read(STDIN_FILENO, chunk.data(), chunk.size());
+  while (count > 0) {
+    if (!input.consume({chunk.data(), static_cast<std::size_t>(count)}))
+      return 1;
+    count = ::read(STDIN_FILENO, chunk.data(), chunk.size());
   }
-  return 0;
+  return input.finish() ? 0 : 1;
 }
 
 }  // namespace
