--- a/tests/fleet/message_authenticator_test.cpp
+++ b/tests/fleet/message_authenticator_test.cpp
@@ -1,4 +1,4 @@
-// Who may speak in a fleet: seals, and the file of their keys.
+// Authentication of the fleet's datagrams, and its key file.
 #include "fleet/message_authenticator.h"
 
 #include <sys/stat.h>
@@ -39,8 +39,8 @@
   MessageAuthenticator b{{key(1, 7)}, kB, kNow};
   std::string_view plain;
   // What b makes of a datagram; the content of an accepted one is in `plain`.
-  Verdict hears(const std::string& sealed, MessageAuthenticator::WallMs now = kNow,
-                const Endpoint& from = kA) {
+  Verdict receive(const std::string& sealed, MessageAuthenticator::WallMs now = kNow,
+                  const Endpoint& from = kA) {
     auto content = b.verify(now, from, sealed);
     plain = content.value_or(plain);
     return verdict(content);
@@ -57,22 +57,22 @@
     for (int bit = 0; bit < 8; ++bit) {
       std::string spoilt = sealed;
       spoilt[i] = static_cast<char>(spoilt[i] ^ 1 << bit);
-      CHECK(p.hears(spoilt) != kAccepted);
-      CHECK(p.hears(sealed.substr(0, i)) != kAccepted);
+      CHECK(p.receive(spoilt) != kAccepted);
+      CHECK(p.receive(sealed.substr(0, i)) != kAccepted);
     }
   }
-  CHECK(p.hears(sealed, kNow, kC) == VerifyError::WrongHash);  // somebody else sends it on
+  CHECK(p.receive(sealed, kNow, kC) == VerifyError::WrongHash);  // somebody else sends it on
   MessageAuthenticator c({key(1, 7)}, kC, kNow);
   CHECK(verdict(c.verify(kNow, kA, sealed)) == VerifyError::WrongHash);  // or to somebody else
-  REQUIRE(p.hears(sealed) == kAccepted);
+  REQUIRE(p.receive(sealed) == kAccepted);
   CHECK(p.plain == "what one says");
-  CHECK(p.hears(sealed) == VerifyError::Replayed);
+  CHECK(p.receive(sealed) == VerifyError::Replayed);
   MessageAuthenticator foreign({key(1, 8)}, kA, kNow);
   MessageAuthenticator other({key(2, 7)}, kA, kNow);
-  CHECK(p.hears(foreign.sign(kNow, kB, "x")) == VerifyError::WrongHash);
-  CHECK(p.hears(other.sign(kNow, kB, "x")) == VerifyError::UnknownKey);
-  CHECK(p.hears("") == VerifyError::NotSigned);
-  CHECK(p.hears(std::string(200, '\x21')) == VerifyError::NotSigned);
+  CHECK(p.receive(foreign.sign(kNow, kB, "x")) == VerifyError::WrongHash);
+  CHECK(p.receive(other.sign(kNow, kB, "x")) == VerifyError::UnknownKey);
+  CHECK(p.receive("") == VerifyError::NotSigned);
+  CHECK(p.receive(std::string(200, '\x21')) == VerifyError::NotSigned);
 }
 
 TEST_CASE("what comes out of order counts, within a window, and what was recorded does not, ever") {
@@ -80,11 +80,11 @@
   std::vector<std::string> sent;
   for (int i = 0; i < 200; ++i)
     sent.push_back(p.a.sign(kNow, kB, std::to_string(i)));
-  CHECK(p.hears(sent[100]) == kAccepted);
+  CHECK(p.receive(sent[100]) == kAccepted);
   for (int i : {99, 37, 35, 98, 37, 102, 101, 199, 135, 134}) {
     bool again = i == 37 && p.plain == "98";
     bool old = i == 35 || i == 134;
-    CHECK(p.hears(sent[i]) == (again || old ? Verdict(VerifyError::Replayed) : kAccepted));
+    CHECK(p.receive(sent[i]) == (again || old ? Verdict(VerifyError::Replayed) : kAccepted));
   }
   SECTION("also where the receiver has started again and knows of no counter") {
     MessageAuthenticator fresh({key(1, 7)}, kB, kNow + 31'000);
@@ -93,26 +93,26 @@
   }
   SECTION("a sender that has started again begins anew, and what it said before is over") {
     MessageAuthenticator again({key(1, 7)}, kA, kNow + 2000);
-    CHECK(p.hears(again.sign(kNow + 2000, kB, "x"), kNow + 2000) == kAccepted);
-    CHECK(p.hears(sent[160], kNow + 2000) == VerifyError::Replayed);
+    CHECK(p.receive(again.sign(kNow + 2000, kB, "x"), kNow + 2000) == kAccepted);
+    CHECK(p.receive(sent[160], kNow + 2000) == VerifyError::Replayed);
   }
   SECTION("one whose clock was put back is heard once the old time can no longer be replayed") {
     MessageAuthenticator back({key(1, 7)}, kA, kNow - 10'000);
-    CHECK(p.hears(back.sign(kNow + 1000, kB, "x"), kNow + 1000) == VerifyError::Replayed);
-    CHECK(p.hears(back.sign(kNow + 61'000, kB, "y"), kNow + 61'000) == kAccepted);
+    CHECK(p.receive(back.sign(kNow + 1000, kB, "x"), kNow + 1000) == VerifyError::Replayed);
+    CHECK(p.receive(back.sign(kNow + 61'000, kB, "y"), kNow + 61'000) == kAccepted);
   }
 }
 
 TEST_CASE("a key is exchanged while both old and new are spoken") {
   Pair p;
   p.b.replace_keys({key(1, 7), key(2, 9)});
-  CHECK(p.hears(p.a.sign(kNow, kB, "old")) == kAccepted);
+  CHECK(p.receive(p.a.sign(kNow, kB, "old")) == kAccepted);
   p.a.replace_keys({key(2, 9), key(1, 7)});
-  CHECK(p.hears(p.a.sign(kNow, kB, "new")) == kAccepted);
+  CHECK(p.receive(p.a.sign(kNow, kB, "new")) == kAccepted);
   p.b.replace_keys({key(2, 9)});
-  CHECK(p.hears(p.a.sign(kNow, kB, "new")) == kAccepted);
+  CHECK(p.receive(p.a.sign(kNow, kB, "new")) == kAccepted);
   p.a.replace_keys({key(1, 7)});
-  CHECK(p.hears(p.a.sign(kNow, kB, "too late")) == VerifyError::UnknownKey);
+  CHECK(p.receive(p.a.sign(kNow, kB, "too late")) == VerifyError::UnknownKey);
 }
 
 TEST_CASE("a flood of sessions that were real does not fill the memory") {
