--- /dev/null
+++ b/bench/measured_dispatcher.h
@@ -0,0 +1,18 @@
+// A dispatcher process with its stubs, as the benchmarks measure it.
+#pragma once
+
+#include <string>
+
+#include "testbed/stubs/stubs.h"
+
+namespace dispatcher::bench {
+
+struct MeasuredDispatcher {
+  MeasuredDispatcher(const testbed::DispatcherProcess::Setup& setup, int workers)
+      : services(setup.host, workers), process(setup, services) {}
+
+  testbed::StubServices services;
+  testbed::DispatcherProcess process;
+};
+
+}  // namespace dispatcher::bench
--- a/bench/operations.cpp
+++ b/bench/operations.cpp
@@ -1,138 +1,191 @@
-// What the operators' address costs: CPU for an order while its figures are fetched, and what
-// silent callers there do to orders and to other callers. Metrics are ratios of alternating rounds
-// in one run; a table goes to standard output.
+// What the admin address costs: CPU for a request while its metrics are fetched, and what silent
+// callers there do to requests and to other callers. Results are ratios of alternating rounds in
+// one run; a table goes to standard output.
 //
 //     dispatcher_bench_operations PROGRAM CONFIG [ROUNDS]
 #include <algorithm>
 #include <atomic>
 #include <chrono>
 #include <cstdio>
+#include <exception>
 #include <filesystem>
+#include <iterator>
+#include <memory>
+#include <stdexcept>
+#include <string>
+#include <thread>
+#include <vector>
 
+#include "bench/measured_dispatcher.h"
+#include "bench/statistics.h"
 #include "testbed/stubs/stubs.h"
 
 using namespace dispatcher::testbed;
+using dispatcher::bench::median;
 
 namespace {
 
-constexpr int kOrders = 400;
+constexpr int kWorkers = 4;
+constexpr int kRequestsPerRound = 400;
+constexpr int kSilentCallers = 100;
+constexpr int kDefaultRounds = 7;
+constexpr std::chrono::milliseconds kRareInterval{1000};
+constexpr std::chrono::milliseconds kFrequentInterval{10};
 
-double median(std::vector<double> v) {
-  std::ranges::sort(v);
-  return v.empty() ? 0 : v[v.size() / 2];
-}
+struct RoundCost {
+  double cpu_ms = 0;      // of the dispatcher, for one request
+  double request_ms = 0;  // the median
+};
 
-struct Rig {
-  Rig(const std::string& program, const std::string& config)
-      : fleet(own_host(), 4), dispatcher({program, config, "", own_host(), 1024, true}, fleet) {
-    round();
+// A dispatcher with an admin address that serves rounds of requests.
+class RequestRounds {
+ public:
+  RequestRounds(const std::string& program, const std::string& config)
+      : measured_({.program = program,
+                   .config = config,
+                   .features = "",
+                   .host = own_host(),
+                   .sockets = 1024,
+                   .operators = true},
+                  kWorkers) {
+    run();  // the scheduler learns what its workers can do
   }
-  struct Round {
-    double cpu_ms;
-    double order_ms;  // for one order; the latter the median
-  };
-  Round round() {
-    double before = dispatcher.cpu_ms();
-    std::vector<double> ms;
-    Regular client(dispatcher.address());
-    for (int i = 0; i < kOrders; ++i) {
-      Order o;
-      o.id = ++ids;
-      o.query = "news=1";
-      Answer a = client.hand_in(o);
-      if (a.status != 200)
-        throw std::runtime_error("an order failed");
-      ms.push_back(a.ms);
+
+  RoundCost run() {
+    double cpu_before_ms = process().cpu_ms();
+    std::vector<double> request_ms;
+    PersistentClient client(process().address());
+    for (int i = 0; i < kRequestsPerRound; ++i) {
+      ClientRequest request;
+      request.id = ++last_id_;
+      request.query = "news=1";
+      ClientResponse response = client.hand_in(request);
+      if (response.status != 200)
+        throw std::runtime_error("a request failed");
+      request_ms.push_back(response.ms);
     }
-    return {(dispatcher.cpu_ms() - before) / kOrders, median(ms)};
+    return {.cpu_ms = (process().cpu_ms() - cpu_before_ms) / kRequestsPerRound,
+            .request_ms = median(request_ms)};
   }
-  std::size_t descriptors() const {
-    std::filesystem::directory_iterator all("/proc/" + std::to_string(dispatcher.pid()) + "/fd");
-    return static_cast<std::size_t>(std::distance(begin(all), end(all)));
+
+  std::size_t open_descriptors() {
+    std::filesystem::directory_iterator entries("/proc/" + std::to_string(process().pid()) + "/fd");
+    return static_cast<std::size_t>(std::distance(begin(entries), end(entries)));
   }
-  Fleet fleet;
-  Dispatcher dispatcher;
-  std::uint64_t ids = 0;
+
+  const std::string& admin_address() { return process().operators(); }
+
+ private:
+  DispatcherProcess& process() { return measured_.process; }
+
+  dispatcher::bench::MeasuredDispatcher measured_;
+  std::uint64_t last_id_ = 0;
 };
 
-// Calls at this distance while it lives.
-class Caller {
+// Fetches the metrics again and again while it exists. Read the results after stop().
+class MetricsCaller {
  public:
-  Caller(const std::string& operators, int every_ms)
-      : thread_([this, operators, every_ms] {
-          while (!over_) {
-            auto start = std::chrono::steady_clock::now();
-            if (call(operators, "GET", "/admin/stats").status != 200)
-              ++failed;
-            std::chrono::duration<double, std::milli> took =
-                std::chrono::steady_clock::now() - start;
-            longest_ms = std::max(longest_ms, took.count());
-            std::this_thread::sleep_for(std::chrono::milliseconds(every_ms));
-          }
-        }) {}
-  ~Caller() {
-    over_ = true;
-    thread_.join();
+  MetricsCaller(std::string admin_address, std::chrono::milliseconds interval)
+      : admin_address_(std::move(admin_address)), interval_(interval), thread_([this] { run(); }) {}
+  MetricsCaller(const MetricsCaller&) = delete;
+  MetricsCaller& operator=(const MetricsCaller&) = delete;
+  ~MetricsCaller() { stop(); }
+
+  void stop() {
+    stopping_ = true;
+    if (thread_.joinable())
+      thread_.join();
   }
-  int failed = 0;
-  double longest_ms = 0;
+  int failed() const { return failed_; }
+  double longest_ms() const { return longest_ms_; }
 
  private:
-  std::atomic<bool> over_{false};
+  void run() {
+    while (!stopping_) {
+      auto start = std::chrono::steady_clock::now();
+      if (call(admin_address_, "GET", "/admin/stats").status != 200)
+        ++failed_;
+      std::chrono::duration<double, std::milli> took = std::chrono::steady_clock::now() - start;
+      longest_ms_ = std::max(longest_ms_, took.count());
+      std::this_thread::sleep_for(interval_);
+    }
+  }
+
+  std::string admin_address_;
+  std::chrono::milliseconds interval_;
+  int failed_ = 0;
+  double longest_ms_ = 0;
+  std::atomic<bool> stopping_{false};
   std::thread thread_;
 };
 
-}  // namespace
-
-int main(int argc, char** argv) try {
-  if (argc < 3)
-    throw std::runtime_error("usage: dispatcher_bench_operations PROGRAM CONFIG [ROUNDS]");
-  int rounds = argc > 3 ? std::stoi(argv[3]) : 7;
-  Rig rig(argv[1], argv[2]);
-  const std::string operators = rig.dispatcher.operators();
-  std::vector<double> each_second;
-  std::vector<double> each_10ms;
+// By round; costs are ratios to the round with an idle admin address.
+struct Results {
+  std::vector<double> rare_cpu;
+  std::vector<double> frequent_cpu;
   std::vector<double> silent_cpu;
-  std::vector<double> silent_order;
-  std::vector<double> call_ms;
+  std::vector<double> silent_request;
+  std::vector<double> longest_call_ms;
   std::size_t idle_descriptors = 0;
   std::size_t silent_descriptors = 0;
-  int failed = 0;
-  for (int i = 0; i < rounds; ++i) {
-    Rig::Round idle = rig.round();
-    idle_descriptors = std::max(idle_descriptors, rig.descriptors());
-    {
-      Caller caller(operators, 1000);
-      each_second.push_back(rig.round().cpu_ms / idle.cpu_ms);
-    }
-    {
-      Caller caller(operators, 10);
-      each_10ms.push_back(rig.round().cpu_ms / idle.cpu_ms);
-    }
-    std::vector<std::unique_ptr<Regular>> silent;
-    for (int n = 0; n < 100; ++n)
-      silent.push_back(std::make_unique<Regular>(operators));
-    Caller caller(operators, 10);
-    Rig::Round beside = rig.round();
-    silent_cpu.push_back(beside.cpu_ms / idle.cpu_ms);
-    silent_order.push_back(beside.order_ms / idle.order_ms);
-    silent_descriptors = std::max(silent_descriptors, rig.descriptors());
-    call_ms.push_back(caller.longest_ms);
-    failed += caller.failed;
-  }
+  int failed_calls = 0;
+};
+
+double cpu_beside_caller_ms(RequestRounds& requests, std::chrono::milliseconds interval) {
+  MetricsCaller caller(requests.admin_address(), interval);
+  return requests.run().cpu_ms;
+}
+
+void measure_beside_silent_callers(RequestRounds& requests, const RoundCost& idle,
+                                   Results& results) {
+  std::vector<std::unique_ptr<PersistentClient>> silent;
+  for (int i = 0; i < kSilentCallers; ++i)
+    silent.push_back(std::make_unique<PersistentClient>(requests.admin_address()));
+  MetricsCaller caller(requests.admin_address(), kFrequentInterval);
+  RoundCost cost = requests.run();
+  results.silent_cpu.push_back(cost.cpu_ms / idle.cpu_ms);
+  results.silent_request.push_back(cost.request_ms / idle.request_ms);
+  results.silent_descriptors = std::max(results.silent_descriptors, requests.open_descriptors());
+  caller.stop();
+  results.longest_call_ms.push_back(caller.longest_ms());
+  results.failed_calls += caller.failed();
+}
+
+void measure_round(RequestRounds& requests, Results& results) {
+  RoundCost idle = requests.run();
+  results.idle_descriptors = std::max(results.idle_descriptors, requests.open_descriptors());
+  results.rare_cpu.push_back(cpu_beside_caller_ms(requests, kRareInterval) / idle.cpu_ms);
+  results.frequent_cpu.push_back(cpu_beside_caller_ms(requests, kFrequentInterval) / idle.cpu_ms);
+  measure_beside_silent_callers(requests, idle, results);
+}
+
+void print(const Results& results, int rounds) {
   std::printf(
       "CPU for an order, against that with the operators' address idle (median of %d rounds)\n",
       rounds);
-  std::printf("  figures fetched each second            %.2f\n", median(each_second));
-  std::printf("  figures fetched each 10 ms             %.2f\n", median(each_10ms));
-  std::printf("  the same beside 100 silent callers     %.2f\n", median(silent_cpu));
-  std::printf("time of an order beside them             %.2f\n", median(silent_order));
-  std::printf("a call beside them, longest              %.1f ms, %d failed\n", median(call_ms),
-              failed);
-  std::printf("descriptors, idle and beside them        %zu and %zu\n", idle_descriptors,
-              silent_descriptors);
+  std::printf("  figures fetched each second            %.2f\n", median(results.rare_cpu));
+  std::printf("  figures fetched each 10 ms             %.2f\n", median(results.frequent_cpu));
+  std::printf("  the same beside 100 silent callers     %.2f\n", median(results.silent_cpu));
+  std::printf("time of an order beside them             %.2f\n", median(results.silent_request));
+  std::printf("a call beside them, longest              %.1f ms, %d failed\n",
+              median(results.longest_call_ms), results.failed_calls);
+  std::printf("descriptors, idle and beside them        %zu and %zu\n", results.idle_descriptors,
+              results.silent_descriptors);
+}
+
+}  // namespace
+
+int main(int argc, char** argv) try {
+  if (argc < 3)
+    throw std::runtime_error("usage: dispatcher_bench_operations PROGRAM CONFIG [ROUNDS]");
+  int rounds = argc > 3 ? std::stoi(argv[3]) : kDefaultRounds;
+  RequestRounds requests(argv[1], argv[2]);
+  Results results;
+  for (int i = 0; i < rounds; ++i)
+    measure_round(requests, results);
+  print(results, rounds);
   return 0;
-} catch (const std::exception& e) {
-  std::fprintf(stderr, "dispatcher_bench_operations: %s\n", e.what());
+} catch (const std::exception& error) {
+  std::fprintf(stderr, "dispatcher_bench_operations: %s\n", error.what());
   return 1;
 }
--- a/bench/streaming.cpp
+++ b/bench/streaming.cpp
@@ -1,315 +1,436 @@
-// What bodies that pass through cost: memory, throughput, what small orders beside them notice, and
-// CPU for a small order. Metrics are ratios of alternating rounds in one run; a table goes to
-// standard output.
+// What bodies that pass through the dispatcher cost: memory, throughput, latency of small requests
+// beside them, and CPU for a small request. Results are ratios of alternating rounds in one run; a
+// table goes to standard output. Exit code 2: a result misses its target.
 //
-//     dispatcher_bench_streaming PROGRAM CONFIG [--part memory|throughput|beside|cpu]... [--old
-//     PROGRAM] [--mb 50]
+//     dispatcher_bench_streaming PROGRAM CONFIG [--part memory|throughput|beside|cpu]...
+//                                [--old PROGRAM] [--mb 50]
 #include <sched.h>
 
 #include <algorithm>
+#include <atomic>
+#include <chrono>
 #include <cstdio>
-#include <cstring>
-#include <numeric>
+#include <exception>
+#include <mutex>
+#include <stdexcept>
+#include <string>
+#include <thread>
+#include <vector>
 
+#include "bench/measured_dispatcher.h"
+#include "bench/statistics.h"
 #include "testbed/stubs/stubs.h"
 
 using namespace dispatcher::testbed;
+using dispatcher::bench::median;
+using dispatcher::bench::quantile;
 
 namespace {
 
 using Clock = std::chrono::steady_clock;
 
-std::string features(int ceiling_mb) {
+constexpr double kBytesPerMb = 1e6;
+constexpr double kFailedRequestMs = 1e6;  // stands for the time of a failed request
+constexpr int kDefaultCeilingMb = 24;
+constexpr int kConcurrentTransfers = 200;
+constexpr std::uint64_t kSlowTransferSeconds = 15;
+
+// A body came back wrong: the part has failed.
+class WrongTransfer : public std::runtime_error {
+ public:
+  WrongTransfer() : std::runtime_error("a transfer went wrong") {}
+};
+
+struct Options {
+  std::string program;
+  std::string config;
+  std::string old_program;  // of the CPU comparison
+  std::vector<std::string> parts;
+  std::uint64_t bytes = 50'000'000;  // of a body
+};
+
+std::string streaming_features(int ceiling_mb) {
   return "streaming { most_body_bytes: 1000000000 memory_ceiling_mb: " +
          std::to_string(ceiling_mb) +
          " window_kb: 512 replay_bytes: 65536 stall_ms: 60000 longest_transfer_ms: 600000 }";
 }
 
 std::uint64_t next_id() {
-  static std::atomic<std::uint64_t> id{1};
-  return ++id;
+  static std::atomic<std::uint64_t> last_id{1};
+  return ++last_id;
+}
+
+double seconds_since(Clock::time_point start) {
+  return std::chrono::duration<double>(Clock::now() - start).count();
 }
 
-// The dispatcher has one core, as in service; the stubs have the others.
-void pin(int pid, bool dispatcher) {
+// The dispatcher has core 0 to itself, as in service; the stubs have the others.
+void pin_dispatcher(int pid) {
   cpu_set_t cores;
   CPU_ZERO(&cores);
-  int n = static_cast<int>(std::thread::hardware_concurrency());
-  if (dispatcher || n < 2) {
-    CPU_SET(0, &cores);
-  } else {
-    for (int i = 1; i < n; ++i)
-      CPU_SET(i, &cores);
-  }
+  CPU_SET(0, &cores);
   sched_setaffinity(pid, sizeof cores, &cores);
 }
 
-struct Rig {
-  Rig(const std::string& program, const std::string& config, const std::string& features,
-      int workers = 4)
-      : fleet(own_host(), workers),
-        dispatcher({program, config, features, own_host(), 4096}, fleet) {
-    pin(dispatcher.pid(), true);
-    for (int i = 0; i < 8 * workers; ++i) {  // the scheduler learns what its workers can do
-      Order o;
-      o.id = next_id();
+void pin_stubs() {
+  int count = static_cast<int>(std::thread::hardware_concurrency());
+  if (count < 2)
+    return pin_dispatcher(0);
+  cpu_set_t cores;
+  CPU_ZERO(&cores);
+  for (int i = 1; i < count; ++i)
+    CPU_SET(i, &cores);
+  sched_setaffinity(0, sizeof cores, &cores);
+}
+
+// A dispatcher on its own core whose scheduler has learned what its workers can do.
+class WarmDispatcher {
+ public:
+  WarmDispatcher(const std::string& program, const std::string& config, const std::string& features,
+                 int workers = 4)
+      : measured_({.program = program,
+                   .config = config,
+                   .features = features,
+                   .host = own_host(),
+                   .sockets = 4096},
+                  workers) {
+    static constexpr int kWarmUpRequestsPerWorker = 8;
+    pin_dispatcher(process().pid());
+    for (int i = 0; i < kWarmUpRequestsPerWorker * workers; ++i) {
+      ClientRequest request;
+      request.id = next_id();
       if (features.empty())
-        o.query = "news=1";
-      if (hand_in(dispatcher.address(), o).status != 200)
-        throw std::runtime_error("a first order failed");
+        request.query = "news=1";
+      if (hand_in(address(), request).status != 200)
+        throw std::runtime_error("a first request failed");
     }
   }
-  Fleet fleet;
-  Dispatcher dispatcher;
+
+  DispatcherProcess& process() { return measured_.process; }
+  const std::string& address() { return measured_.process.address(); }
+  const std::string& first_worker() { return measured_.services.worker(0); }
+
+ private:
+  dispatcher::bench::MeasuredDispatcher measured_;
 };
 
-std::vector<Answer> run_all(const std::string& address, const std::vector<Order>& orders) {
-  std::vector<Answer> answers(orders.size());
+std::vector<ClientResponse> send_all(const std::string& address,
+                                     const std::vector<ClientRequest>& requests) {
+  std::vector<ClientResponse> responses(requests.size());
   std::vector<std::thread> threads;
-  for (std::size_t i = 0; i < orders.size(); ++i)
-    threads.emplace_back([&, i] { answers[i] = hand_in(address, orders[i]); });
-  for (std::thread& t : threads)
-    t.join();
-  return answers;
+  threads.reserve(requests.size());
+  for (std::size_t i = 0; i < requests.size(); ++i)
+    threads.emplace_back([&, i] { responses[i] = hand_in(address, requests[i]); });
+  for (std::thread& thread : threads)
+    thread.join();
+  return responses;
 }
 
-// Half up, half down; of each quarter one slow client or one slow worker.
-std::vector<Order> transfers(int count, std::uint64_t bytes, std::uint64_t slow) {
-  std::vector<Order> all;
+// Which side of a transfer is slow.
+enum class SlowSide { Neither, Client, Worker };
+
+// Of every sixteen transfers, two have a slow client and two a slow worker.
+SlowSide slow_side(int number) {
+  int place = number % 16;
+  if (place < 2)
+    return SlowSide::Client;
+  return place < 4 ? SlowSide::Worker : SlowSide::Neither;
+}
+
+ClientRequest make_upload(std::uint64_t bytes, bool chunked, SlowSide slow, std::uint64_t rate) {
+  ClientRequest request;
+  request.chunked = chunked;
+  request.upload = bytes;
+  request.query = "nice=1";
+  if (slow == SlowSide::Client)
+    request.rate_up = rate;
+  if (slow == SlowSide::Worker)
+    request.query += "&in=" + std::to_string(rate);
+  return request;
+}
+
+ClientRequest make_download(std::uint64_t bytes, std::uint64_t seed, bool chunked, SlowSide slow,
+                            std::uint64_t rate) {
+  ClientRequest request;
+  request.query = "reply=" + std::to_string(bytes) + "&seed=" + std::to_string(seed);
+  if (chunked)
+    request.query += "&chunked=1";
+  request.query += "&nice=1";
+  if (slow == SlowSide::Client)
+    request.rate_down = rate;
+  if (slow == SlowSide::Worker)
+    request.query += "&out=" + std::to_string(rate);
+  return request;
+}
+
+// Uploads and downloads in turn. `slow_rate`: bytes a second of the slow ones; 0: none is slow.
+std::vector<ClientRequest> make_transfers(int count, std::uint64_t bytes, std::uint64_t slow_rate) {
+  static constexpr int kTransferTimeoutMs = 600'000;
+  std::vector<ClientRequest> transfers;
   for (int i = 0; i < count; ++i) {
-    Order o;
-    o.id = next_id();
-    o.seed = o.id;
-    o.chunked = i % 4 < 2;
-    o.time_left_ms = 600'000;
-    bool up = i % 2 == 0;
-    bool client = i % 8 < 2;
-    bool worker = i % 8 >= 2 && i % 8 < 4;
-    if (slow == 0)
-      client = worker = false;
-    if (i / 8 % 2 == 1)
-      client = worker = client && false;  // every second eight has none: a quarter in all
-    if (up) {
-      o.upload = bytes;
-    } else {
-      o.query = "reply=" + std::to_string(bytes) + "&seed=" + std::to_string(o.seed) +
-                (o.chunked ? "&chunked=1" : "");
-    }
-    o.query += o.query.empty() ? "nice=1" : "&nice=1";
-    if (!up)
-      o.chunked = false;
-    if (client)
-      (up ? o.rate_up : o.rate_down) = slow;
-    if (worker)
-      o.query += std::string(up ? "&in=" : "&out=") + std::to_string(slow);
-    all.push_back(o);
+    std::uint64_t id = next_id();
+    bool chunked = i % 4 < 2;
+    SlowSide slow = slow_rate > 0 ? slow_side(i) : SlowSide::Neither;
+    ClientRequest request = i % 2 == 0 ? make_upload(bytes, chunked, slow, slow_rate)
+                                       : make_download(bytes, id, chunked, slow, slow_rate);
+    request.id = id;
+    request.seed = id;
+    request.time_left_ms = kTransferTimeoutMs;
+    transfers.push_back(request);
   }
-  return all;
+  return transfers;
 }
 
-int wrong(const std::vector<Order>& orders, const std::vector<Answer>& answers,
-          std::uint64_t bytes) {
-  int bad = 0;
-  for (std::size_t i = 0; i < orders.size(); ++i) {
-    const Answer& a = answers[i];
-    bool ok = a.status == 200 && a.whole && !a.unread;
-    if (orders[i].upload > 0) {
-      ok = ok && a.body == a.sent_sha;
-    } else {
-      ok = ok && a.bytes == bytes && a.sha == pattern_sha(orders[i].seed, bytes);
-    }
-    if (!ok) {
-      std::printf("  order %llu: status %d, %llu bytes\n",
-                  static_cast<unsigned long long>(orders[i].id), a.status,
-                  static_cast<unsigned long long>(a.bytes));
-    }
-    bad += !ok;
+bool is_correct(const ClientRequest& request, const ClientResponse& response, std::uint64_t bytes) {
+  if (response.status != 200 || !response.whole || response.unread)
+    return false;
+  if (request.upload > 0)
+    return response.body == response.sent_sha;
+  return response.bytes == bytes && response.sha == pattern_sha(request.seed, bytes);
+}
+
+// Prints each wrong response; returns their number.
+int count_wrong(const std::vector<ClientRequest>& requests,
+                const std::vector<ClientResponse>& responses, std::uint64_t bytes) {
+  int wrong = 0;
+  for (std::size_t i = 0; i < requests.size(); ++i) {
+    if (is_correct(requests[i], responses[i], bytes))
+      continue;
+    std::printf("  order %llu: status %d, %llu bytes\n",
+                static_cast<unsigned long long>(requests[i].id), responses[i].status,
+                static_cast<unsigned long long>(responses[i].bytes));
+    ++wrong;
   }
-  return bad;
+  return wrong;
+}
+
+struct MemoryTarget {
+  int ceiling_mb = 0;
+  std::uint64_t maximum_kb = 0;  // of the resident set
+};
+
+bool measure_memory(const Options& options, const MemoryTarget& target) {
+  WarmDispatcher warm(options.program, options.config, streaming_features(target.ceiling_mb));
+  auto transfers =
+      make_transfers(kConcurrentTransfers, options.bytes, options.bytes / kSlowTransferSeconds);
+  auto start = Clock::now();
+  auto responses = send_all(warm.address(), transfers);
+  double seconds = seconds_since(start);
+  int wrong = count_wrong(transfers, responses, options.bytes);
+  std::uint64_t peak_kb = warm.process().memory_kb("VmHWM");
+  std::printf(
+      "memory: ceiling %2d MB, 200 transfers of %llu MB: %d wrong, %.1f s, peak resident %.1f MB "
+      "(most %d)\n",
+      target.ceiling_mb, static_cast<unsigned long long>(options.bytes / 1'000'000), wrong, seconds,
+      static_cast<double>(peak_kb) / 1024, static_cast<int>(target.maximum_kb >> 10));
+  return wrong == 0 && peak_kb < target.maximum_kb;
 }
 
-double median(std::vector<double> v, double at = 0.5) {
-  std::ranges::sort(v);
-  return v.empty() ? 0
-                   : v[std::min(v.size() - 1,
-                                static_cast<std::size_t>(at * static_cast<double>(v.size())))];
+bool run_memory_part(const Options& options) {
+  bool passed = true;
+  for (const MemoryTarget& target : {MemoryTarget{24, 48 << 10}, MemoryTarget{8, 32 << 10}})
+    passed &= measure_memory(options, target);
+  return passed;
 }
 
-bool memory(const std::string& program, const std::string& config, std::uint64_t bytes) {
-  bool good = true;
-  for (auto [ceiling, most_kb] : {std::pair{24, 48 << 10}, std::pair{8, 32 << 10}}) {
-    Rig rig(program, config, features(ceiling));
-    auto orders = transfers(200, bytes, bytes / 15);
-    auto start = Clock::now();
-    auto answers = run_all(rig.dispatcher.address(), orders);
-    double seconds = std::chrono::duration<double>(Clock::now() - start).count();
-    int bad = wrong(orders, answers, bytes);
-    auto peak = rig.dispatcher.memory_kb("VmHWM");
-    std::printf(
-        "memory: ceiling %2d MB, 200 transfers of %llu MB: %d wrong, %.1f s, peak resident %.1f MB "
-        "(most "
-        "%d)\n",
-        ceiling, static_cast<unsigned long long>(bytes / 1'000'000), bad, seconds,
-        double(peak) / 1024, most_kb >> 10);
-    good = good && bad == 0 && peak < static_cast<std::uint64_t>(most_kb);
+// MB a second of `count` transfers in one direction. Throws WrongTransfer.
+double transfer_speed(const std::string& address, int count, bool uploads, std::uint64_t bytes) {
+  std::vector<ClientRequest> transfers = make_transfers(2 * count, bytes, 0);
+  std::erase_if(transfers,
+                [&](const ClientRequest& request) { return (request.upload > 0) != uploads; });
+  auto start = Clock::now();
+  auto responses = send_all(address, transfers);
+  double seconds = seconds_since(start);
+  if (count_wrong(transfers, responses, bytes) > 0)
+    throw WrongTransfer();
+  return count * static_cast<double>(bytes) / seconds / kBytesPerMb;
+}
+
+bool measure_throughput(WarmDispatcher& warm, int count, bool uploads, std::uint64_t bytes) {
+  static constexpr int kRounds = 5;
+  static constexpr double kMinimumRatio = 0.7;
+  std::vector<double> ratios;
+  std::vector<double> speeds;
+  for (int round = 0; round < kRounds; ++round) {
+    double direct = transfer_speed(warm.first_worker(), count, uploads, bytes);
+    double dispatched = transfer_speed(warm.address(), count, uploads, bytes);
+    ratios.push_back(dispatched / direct);
+    speeds.push_back(dispatched);
   }
-  return good;
+  std::printf(
+      "throughput: %2d %s: %.0f MB/s through the dispatcher, %.2f of direct (at least 0.70)\n",
+      count, uploads ? "up  " : "down", median(speeds), median(ratios));
+  return median(ratios) >= kMinimumRatio;
 }
 
-bool throughput(const std::string& program, const std::string& config, std::uint64_t bytes) {
-  Rig rig(program, config, features(24));
-  bool good = true;
+bool run_throughput_part(const Options& options) {
+  WarmDispatcher warm(options.program, options.config, streaming_features(kDefaultCeilingMb));
+  bool passed = true;
   for (int count : {1, 16}) {
-    for (bool up : {true, false}) {
-      std::vector<double> ratios;
-      std::vector<double> speeds;
-      for (int round = 0; round < 5; ++round) {
-        double speed[2];
-        for (bool direct : {true, false}) {
-          std::vector<Order> orders = transfers(2 * count, bytes, 0);
-          std::erase_if(orders, [up](const Order& o) { return (o.upload > 0) != up; });
-          auto start = Clock::now();
-          auto answers = run_all(direct ? rig.fleet.worker(0) : rig.dispatcher.address(), orders);
-          speed[direct] = count * double(bytes) /
-                          std::chrono::duration<double>(Clock::now() - start).count() / 1e6;
-          if (wrong(orders, answers, bytes) > 0)
-            return false;
-        }
-        ratios.push_back(speed[0] / speed[1]);
-        speeds.push_back(speed[0]);
-      }
-      std::printf(
-          "throughput: %2d %s: %.0f MB/s through the dispatcher, %.2f of direct (at least 0.70)\n",
-          count, up ? "up  " : "down", median(speeds), median(ratios));
-      good = good && median(ratios) >= 0.7;
-    }
+    for (bool uploads : {true, false})
+      passed &= measure_throughput(warm, count, uploads, options.bytes);
   }
-  return good;
+  return passed;
 }
 
-// Small orders, four at a time; the times that those took.
-std::vector<double> small_orders(const std::string& address, int count, const std::string& query) {
-  std::vector<double> times;
+// Sends small requests, four at a time; returns their times in ms.
+std::vector<double> send_small_requests(const std::string& address, int count,
+                                        const std::string& query) {
+  static constexpr int kThreads = 4;
+  std::vector<double> times_ms;
   std::mutex mutex;
   std::vector<std::thread> threads;
-  for (int t = 0; t < 4; ++t) {
+  for (int i = 0; i < kThreads; ++i) {
     threads.emplace_back([&] {
       run_on(1, 1);
-      for (int i = 0; i < count / 4; ++i) {
-        Order o;
-        o.id = next_id(), o.upload = 200, o.query = query;
-        Answer a = hand_in(address, o);
+      for (int sent = 0; sent < count / kThreads; ++sent) {
+        ClientRequest request;
+        request.id = next_id();
+        request.upload = 200;
+        request.query = query;
+        ClientResponse response = hand_in(address, request);
         std::lock_guard lock(mutex);
-        times.push_back(a.status == 200 ? a.ms : 1e6);
+        times_ms.push_back(response.status == 200 ? response.ms : kFailedRequestMs);
       }
     });
   }
-  for (std::thread& t : threads)
-    t.join();
-  return times;
+  for (std::thread& thread : threads)
+    thread.join();
+  return times_ms;
 }
 
-bool beside(const std::string& program, const std::string& config, std::uint64_t bytes) {
-  run_on(
-      1,
-      1);  // where each connection is taken; the threads of transfers go to other cores from there
-  Rig rig(program, config, features(24), 8);
-  std::vector<double> m;
-  std::vector<double> p;
-  for (int round = 0; round < 3; ++round) {
-    auto without = small_orders(rig.dispatcher.address(), 400, "work=50&core=1");
-    auto orders = transfers(200, bytes, bytes / 15);
-    std::vector<Answer> answers;
-    std::thread load([&] {
-      run_on(2, 3);
-      answers = run_all(rig.dispatcher.address(), orders);
-    });
-    std::this_thread::sleep_for(std::chrono::milliseconds(500));
-    auto with = small_orders(rig.dispatcher.address(), 400, "work=50&core=1");
-    load.join();
-    if (wrong(orders, answers, bytes) > 0)
-      return false;
-    std::printf("  round %d: median %.1f ms without, %.1f with; 99th %.1f and %.1f\n", round,
-                median(without), median(with), median(without, 0.99), median(with, 0.99));
-    m.push_back(median(with) / median(without));
-    p.push_back(median(with, 0.99) / median(without, 0.99));
+struct LatencyRatios {
+  double median = 0;
+  double percentile_99 = 0;
+};
+
+// The latency of small requests beside transfers, against that without. Throws WrongTransfer.
+LatencyRatios measure_latency_beside(WarmDispatcher& warm, std::uint64_t bytes, int round) {
+  static constexpr int kSmallRequests = 400;
+  const std::string query = "work=50&core=1";
+  auto without = send_small_requests(warm.address(), kSmallRequests, query);
+  auto transfers = make_transfers(kConcurrentTransfers, bytes, bytes / kSlowTransferSeconds);
+  std::vector<ClientResponse> responses;
+  std::thread load([&] {
+    run_on(2, 3);
+    responses = send_all(warm.address(), transfers);
+  });
+  std::this_thread::sleep_for(std::chrono::milliseconds(500));
+  auto with = send_small_requests(warm.address(), kSmallRequests, query);
+  load.join();
+  if (count_wrong(transfers, responses, bytes) > 0)
+    throw WrongTransfer();
+  std::printf("  round %d: median %.1f ms without, %.1f with; 99th %.1f and %.1f\n", round,
+              median(without), median(with), quantile(without, 0.99), quantile(with, 0.99));
+  return {.median = median(with) / median(without),
+          .percentile_99 = quantile(with, 0.99) / quantile(without, 0.99)};
+}
+
+bool run_beside_part(const Options& options) {
+  static constexpr int kRounds = 3;
+  static constexpr int kWorkers = 8;
+  static constexpr double kMaximumRatio = 1.2;
+  // Connections are accepted on core 1; the threads of transfers move to other cores from there.
+  run_on(1, 1);
+  WarmDispatcher warm(options.program, options.config, streaming_features(kDefaultCeilingMb),
+                      kWorkers);
+  std::vector<double> medians;
+  std::vector<double> percentiles;
+  for (int round = 0; round < kRounds; ++round) {
+    LatencyRatios ratios = measure_latency_beside(warm, options.bytes, round);
+    medians.push_back(ratios.median);
+    percentiles.push_back(ratios.percentile_99);
   }
   std::printf(
       "beside: small orders with 200 transfers against without: median %.2f, 99th percentile %.2f "
-      "(most "
-      "1.20)\n",
-      median(m), median(p));
-  return median(m) <= 1.2 && median(p) <= 1.2;
+      "(most 1.20)\n",
+      median(medians), median(percentiles));
+  return median(medians) <= kMaximumRatio && median(percentiles) <= kMaximumRatio;
+}
+
+// CPU of the dispatcher for a small request, in microseconds.
+double small_request_cpu_us(WarmDispatcher& warm) {
+  static constexpr int kRequests = 1600;
+  static constexpr double kMicrosecondsPerMs = 1000;
+  double before_ms = warm.process().cpu_ms();
+  auto times_ms = send_small_requests(warm.address(), kRequests, "news=1&core=1");
+  if (std::ranges::max(times_ms) >= kFailedRequestMs)
+    throw std::runtime_error("a small request failed");
+  return (warm.process().cpu_ms() - before_ms) * kMicrosecondsPerMs / kRequests;
 }
 
-bool cpu(const std::string& program, const std::string& old, const std::string& config) {
-  std::vector<double> off;
-  std::vector<double> on;
-  Rig before(old, config, "");
-  Rig after(program, config, "");
-  Rig streams(program, config, features(24));
-  auto cost = [](Rig& rig) {  // ms of CPU a thousand small orders, by call-backs as always
-    double start = rig.dispatcher.cpu_ms();
-    if (median(small_orders(rig.dispatcher.address(), 1600, "news=1&core=1"), 1) >= 1e6)
-      throw std::runtime_error("a small order failed");
-    return (rig.dispatcher.cpu_ms() - start) / 1.6;
-  };
-  std::vector<double> base;
-  for (int round = 0; round < 5; ++round) {
-    base.push_back(cost(before));
-    off.push_back(cost(after) / base.back());
-    on.push_back(cost(streams) / base.back());
+bool run_cpu_part(const Options& options) {
+  static constexpr int kRounds = 5;
+  WarmDispatcher old_program(options.old_program, options.config, "");
+  WarmDispatcher new_program(options.program, options.config, "");
+  WarmDispatcher streaming(options.program, options.config, streaming_features(kDefaultCeilingMb));
+  std::vector<double> old_us;
+  std::vector<double> new_ratios;
+  std::vector<double> streaming_ratios;
+  for (int round = 0; round < kRounds; ++round) {
+    old_us.push_back(small_request_cpu_us(old_program));
+    new_ratios.push_back(small_request_cpu_us(new_program) / old_us.back());
+    streaming_ratios.push_back(small_request_cpu_us(streaming) / old_us.back());
   }
   std::printf(
       "cpu: a small order costs %.0f us with the old program; new %.2f of it, with streaming on "
       "%.2f\n",
-      median(base), median(off), median(on));
-  return median(off) <= 1.0;
+      median(old_us), median(new_ratios), median(streaming_ratios));
+  return median(new_ratios) <= 1.0;
 }
 
-}  // namespace
-
-int main(int argc, char** argv) try {
-  if (argc < 3) {
+Options read_options(const std::vector<std::string>& arguments) {
+  if (arguments.size() < 2) {
     throw std::runtime_error(
         "usage: dispatcher_bench_streaming PROGRAM CONFIG [--part NAME] [--old PROGRAM] [--mb N]");
   }
-  std::string program = argv[1];
-  std::string config = argv[2];
-  std::string old;
-  std::vector<std::string> parts;
-  std::uint64_t bytes = 50'000'000;
-  for (int i = 3; i + 1 < argc; i += 2) {
-    if (!std::strcmp(argv[i], "--part")) {
-      parts.push_back(argv[i + 1]);
-    } else if (!std::strcmp(argv[i], "--old")) {
-      old = argv[i + 1];
-    } else if (!std::strcmp(argv[i], "--mb")) {
-      bytes = std::stoull(argv[i + 1]) * 1'000'000;
+  Options options;
+  options.program = arguments[0];
+  options.config = arguments[1];
+  for (std::size_t i = 2; i + 1 < arguments.size(); i += 2) {
+    const std::string& name = arguments[i];
+    const std::string& value = arguments[i + 1];
+    if (name == "--part") {
+      options.parts.push_back(value);
+    } else if (name == "--old") {
+      options.old_program = value;
+    } else if (name == "--mb") {
+      options.bytes = std::stoull(value) * 1'000'000;
     } else {
-      throw std::runtime_error(std::string("unknown: ") + argv[i]);
+      throw std::runtime_error("unknown: " + name);
     }
   }
-  if (parts.empty())
-    parts = {"memory", "throughput", "beside"};
+  if (options.parts.empty())
+    options.parts = {"memory", "throughput", "beside"};
+  return options;
+}
+
+// Whether the part met its targets.
+bool run_part(const std::string& part, const Options& options) try {
+  if (part == "memory")
+    return run_memory_part(options);
+  if (part == "throughput")
+    return run_throughput_part(options);
+  if (part == "beside")
+    return run_beside_part(options);
+  if (part == "cpu" && !options.old_program.empty())
+    return run_cpu_part(options);
+  throw std::runtime_error("no such part, or no --old: " + part);
+} catch (const WrongTransfer&) {
+  return false;
+}
+
+}  // namespace
+
+int main(int argc, char** argv) try {
+  Options options = read_options({argv + 1, argv + argc});
   std::setvbuf(stdout, nullptr, _IOLBF, 0);
-  pin(0, false);
-  bool good = true;
-  for (const std::string& part : parts) {
-    if (part == "memory") {
-      good &= memory(program, config, bytes);
-    } else if (part == "throughput") {
-      good &= throughput(program, config, bytes);
-    } else if (part == "beside") {
-      good &= beside(program, config, bytes);
-    } else if (part == "cpu" && !old.empty()) {
-      good &= cpu(program, old, config);
-    } else {
-      throw std::runtime_error("no such part, or no --old: " + part);
-    }
-  }
-  return good ? 0 : 2;
-} catch (const std::exception& e) {
-  std::fprintf(stderr, "%s\n", e.what());
+  pin_stubs();
+  bool passed = true;
+  for (const std::string& part : options.parts)
+    passed &= run_part(part, options);
+  return passed ? 0 : 2;
+} catch (const std::exception& error) {
+  std::fprintf(stderr, "%s\n", error.what());
   return 1;
 }
--- a/testbed/fleet_table.py
+++ b/testbed/fleet_table.py
@@ -4,33 +4,120 @@
     testbed/fleet_table.py FOLDER [--by worker]
 
 FOLDER holds one .log a dispatcher, each line `SECONDS KIND: TEXT`, of programs started with --trace. The first form
-prints a row for each second, the second one for each order worker. Counts are sums over all dispatchers:
+prints a row for each second, the second one for each worker. Counts are sums over all dispatchers:
 
-  taken served nack failed left   commands that came, and how they ended (left: the client went first)
-  open                            commands taken and not ended at the end of the second
-  held                            of these, those that are at no order worker
+  taken served nack failed left   requests that arrived, and how they ended (nack: rejected; left: the client
+                                  disconnected first)
+  open                            requests not answered at the end of the second
+  held                            of these, those without an open attempt
   sent, and the ends of attempts  unreach(able), broken, overload(ed), failure, withdrawn
-  bad                             sends to an order worker that some dispatcher had found unreachable or broken before
-  probes answered, failed         each is one call to an order worker
-  calls, lists, lines, lost       to discovery: calls, answers, entries in them, calls that failed
-  start                           dispatchers that came up
+  bad                             attempts at a worker that some dispatcher had found unreachable or broken before
+  probes answered, failed         health checks of workers
+  calls, lists, lines, lost       of discovery: polls, answers, entries in them, polls that failed
+  start                           dispatchers that started
 """
 import argparse
 import collections
 import pathlib
 
-COLUMNS = ("start taken served nack failed left open held sent success failure overloaded unreachable broken "
-           "withdrawn bad probes lost_probes calls lists lines lost").split()
+SECOND_COLUMNS = ("start taken served nack failed left open held sent success failure overloaded unreachable broken "
+                  "withdrawn bad probes lost_probes calls lists lines lost").split()
+WORKER_COLUMNS = "sent success failure overloaded unreachable broken withdrawn probes".split()
 
 
-def events(folder):
+def read_events(folder):
+    """Yields (seconds, dispatcher, line number, words) of each log line with a time."""
     for path in sorted(pathlib.Path(folder).glob("*.log")):
         for number, line in enumerate(path.open(errors="replace")):
-            at, _, rest = line.partition(" ")
+            seconds, _, text = line.partition(" ")
             try:
-                yield float(at), path.stem, number, rest.split()
+                yield float(seconds), path.stem, number, text.split()
             except ValueError:
-                continue  # not a line of ours
+                continue
+
+
+class FleetTable:
+    """Counts by second and by worker; add() takes the events in the order of time."""
+
+    def __init__(self):
+        self.seconds = collections.defaultdict(collections.Counter)
+        self.workers = collections.defaultdict(collections.Counter)
+        self.open_requests = {}  # arrival by (dispatcher, request)
+        self.open_attempts = collections.Counter()  # by (dispatcher, request)
+        self.known_bad = set()  # workers that some dispatcher found unreachable or broken
+        self.last_second = None
+
+    def add(self, seconds, dispatcher, words):
+        second = int(seconds)
+        self.close_seconds_before(second)
+        row = self.seconds[second]
+        kind = words[0]
+        if kind == "start:":
+            self.add_start(row, dispatcher)
+        elif kind == "names:" and "failed:" in words:
+            row["lost"] += 1
+        elif kind == "trace:":
+            self.add_trace(row, seconds, dispatcher, words[1:])
+
+    def close_seconds_before(self, second):
+        if self.last_second is not None:
+            for finished in range(self.last_second, second):
+                row = self.seconds[finished]
+                row["open"] = len(self.open_requests)
+                row["held"] = sum(1 for key in self.open_requests if self.open_attempts[key] == 0)
+        self.last_second = second
+
+    def add_start(self, row, dispatcher):
+        row["start"] += 1
+        for key in [key for key in self.open_requests if key[0] == dispatcher]:
+            del self.open_requests[key]  # lost with the process that was killed
+
+    def add_trace(self, row, seconds, dispatcher, words):
+        event = words[0]
+        if event == "call":
+            row["calls"] += 1
+            return
+        if event == "list":
+            row["lists"] += 1
+            row["lines"] += int(words[1])
+            return
+        key, details = (dispatcher, words[1]), words[3:]
+        if event == "taken":
+            row["taken"] += 1
+            self.open_requests[key] = seconds
+        elif event == "answered":
+            row[details[0]] += 1
+            self.open_requests.pop(key, None)
+            self.open_attempts.pop(key, None)
+        elif event == "sent":
+            self.add_attempt(row, key, details[0])
+        elif event == "ended":
+            self.add_attempt_end(row, key, details[0], details[1])
+        elif event == "probed":
+            row["probes"] += 1
+            row["lost_probes"] += details[1] != "success"
+            self.workers[details[0]]["probes"] += 1
+
+    def add_attempt(self, row, key, worker):
+        row["sent"] += 1
+        row["bad"] += worker in self.known_bad
+        self.workers[worker]["sent"] += 1
+        self.open_attempts[key] += 1
+
+    def add_attempt_end(self, row, key, worker, outcome):
+        row[outcome] += 1
+        self.workers[worker][outcome] += 1
+        self.open_attempts[key] -= 1
+        if outcome in ("unreachable", "broken"):
+            self.known_bad.add(worker)
+        elif outcome == "success":
+            self.known_bad.discard(worker)
+
+
+def print_rows(first_column, rows, columns):
+    print(first_column, *columns)
+    for key in sorted(rows):
+        print(key, *(rows[key][column] for column in columns))
 
 
 def main():
@@ -38,64 +125,13 @@
     parser.add_argument("folder")
     parser.add_argument("--by", choices=["second", "worker"], default="second")
     options = parser.parse_args()
-    rows = collections.defaultdict(collections.Counter)
-    workers = collections.defaultdict(collections.Counter)
-    open_commands, attempts, found_bad = {}, collections.Counter(), set()
-    last = None
-    for at, node, _, words in sorted(events(options.folder)):
-        second = int(at)
-        if last is not None and second != last:
-            for s in range(last, second):
-                rows[s]["open"] = len(open_commands)
-                rows[s]["held"] = sum(1 for key in open_commands if attempts[key] == 0)
-        last = second
-        row = rows[second]
-        if words[0] == "start:":
-            row["start"] += 1
-            for key in [k for k in open_commands if k[0] == node]:
-                del open_commands[key]  # it was killed; they are lost
-        elif words[0] == "names:" and "failed:" in words:
-            row["lost"] += 1
-        elif words[0] != "trace:":
-            continue
-        elif words[1] == "call":
-            row["calls"] += 1
-        elif words[1] == "list":
-            row["lists"] += 1
-            row["lines"] += int(words[2])
-        else:
-            what, key, text = words[1], (node, words[2]), words[4:]
-            if what == "taken":
-                row["taken"] += 1
-                open_commands[key] = at
-            elif what == "answered":
-                row[text[0]] += 1
-                open_commands.pop(key, None)
-                attempts.pop(key, None)
-            elif what == "sent":
-                row["sent"] += 1
-                workers[text[0]]["sent"] += 1
-                row["bad"] += text[0] in found_bad
-                attempts[key] += 1
-            elif what == "ended":
-                row[text[1]] += 1
-                workers[text[0]][text[1]] += 1
-                attempts[key] -= 1
-                if text[1] in ("unreachable", "broken"):
-                    found_bad.add(text[0])
-                elif text[1] == "success":
-                    found_bad.discard(text[0])
-            elif what == "probed":
-                row["probes"] += 1
-                row["lost_probes"] += text[1] != "success"
-                workers[text[0]]["probes"] += 1
+    table = FleetTable()
+    for seconds, dispatcher, _, words in sorted(read_events(options.folder)):
+        table.add(seconds, dispatcher, words)
     if options.by == "worker":
-        table, names, first = workers, "sent success failure overloaded unreachable broken withdrawn probes".split(), "worker"
+        print_rows("worker", table.workers, WORKER_COLUMNS)
     else:
-        table, names, first = rows, COLUMNS, "second"
-    print(first, *names)
-    for key in sorted(table):
-        print(key, *(table[key][name] for name in names))
+        print_rows("second", table.seconds, SECOND_COLUMNS)
 
 
 if __name__ == "__main__":
--- a/testbed/processes/datagram_relays.cpp
+++ b/testbed/processes/datagram_relays.cpp
@@ -1,7 +1,5 @@
 #include "testbed/processes/datagram_relays.h"
 
-#include "testbed/stubs/address.h"
-
 #include <arpa/inet.h>
 #include <netinet/in.h>
 #include <poll.h>
@@ -9,134 +7,163 @@
 #include <unistd.h>
 
 #include <algorithm>
+#include <array>
 #include <chrono>
 #include <stdexcept>
 
+#include "testbed/stubs/address.h"
+
 namespace dispatcher::testbed {
 namespace {
 
+constexpr double kMaximumPollMs = 20;
+constexpr std::size_t kMaximumDatagramBytes = 2048;
+
 double now_ms() {
   return std::chrono::duration<double, std::milli>(
              std::chrono::steady_clock::now().time_since_epoch())
       .count();
 }
 
-int bound(const std::string& host, sockaddr_in& address) {
-  int fd = socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
+// A UDP socket on a free port of `host`, whose address goes to `address`.
+int bind_socket(const std::string& host, sockaddr_in& address) {
+  int descriptor = socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
   address = {};
   address.sin_family = AF_INET;
   socklen_t size = sizeof address;
-  if (fd < 0 || inet_pton(AF_INET, host.c_str(), &address.sin_addr) != 1 ||
-      bind(fd, reinterpret_cast<sockaddr*>(&address), size) != 0 ||
-      getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size) != 0)
+  if (descriptor < 0 || inet_pton(AF_INET, host.c_str(), &address.sin_addr) != 1 ||
+      bind(descriptor, reinterpret_cast<sockaddr*>(&address), size) != 0 ||
+      getsockname(descriptor, reinterpret_cast<sockaddr*>(&address), &size) != 0)
     throw std::runtime_error("no socket for a relay on " + host);
-  return fd;
+  return descriptor;
 }
 
-std::string text(const std::string& host, const sockaddr_in& address) {
+std::string format_address(const std::string& host, const sockaddr_in& address) {
   return host + ":" + std::to_string(ntohs(address.sin_port));
 }
 
 }  // namespace
 
-Relays::Relays(const std::string& host, int members, std::uint64_t seed)
-    : links_(static_cast<std::size_t>(members),
-             std::vector<Link>(static_cast<std::size_t>(members))),
+DatagramRelays::DatagramRelays(const std::string& host, int members, std::uint64_t seed)
+    : conditions_(static_cast<std::size_t>(members),
+                  std::vector<PathCondition>(static_cast<std::size_t>(members))),
       random_(seed) {
-  std::vector<int> held;  // all at once, so that no two members get one port
+  // All ports are reserved at once, so that no two members get the same one.
+  std::vector<int> reserved;
   for (int i = 0; i < members; ++i) {
-    sockaddr_in address;
-    sockets_.push_back(bound(host, address));
-    outer_.push_back(text(host, address));
-    held.push_back(bound(host, address));
-    inner_.push_back(text(host, address));
+    sockaddr_in address{};
+    sockets_.push_back(bind_socket(host, address));
+    relay_addresses_.push_back(format_address(host, address));
+    reserved.push_back(bind_socket(host, address));
+    member_addresses_.push_back(format_address(host, address));
     members_[{address.sin_addr.s_addr, address.sin_port}] = i;
   }
-  for (int fd : held)
-    close(fd);
+  for (int descriptor : reserved)
+    close(descriptor);
   thread_ = std::thread([this] { run(); });
 }
 
-Relays::~Relays() {
-  over_ = true;
+DatagramRelays::~DatagramRelays() {
+  stopping_ = true;
   thread_.join();
-  for (int fd : sockets_)
-    close(fd);
+  for (int descriptor : sockets_)
+    close(descriptor);
 }
 
-void Relays::set(int from, int to, const Link& link) {
+void DatagramRelays::set_path(int from, int to, const PathCondition& condition) {
   std::lock_guard lock(mutex_);
-  links_.at(static_cast<std::size_t>(from)).at(static_cast<std::size_t>(to)) = link;
+  conditions_.at(static_cast<std::size_t>(from)).at(static_cast<std::size_t>(to)) = condition;
 }
 
-void Relays::set_all(const Link& link) {
+void DatagramRelays::set_all_paths(const PathCondition& condition) {
   std::lock_guard lock(mutex_);
-  for (auto& row : links_)
-    std::ranges::fill(row, link);
+  for (auto& row : conditions_)
+    std::ranges::fill(row, condition);
 }
 
-void Relays::split(const std::vector<std::vector<int>>& groups) {
+void DatagramRelays::split(const std::vector<std::vector<int>>& groups) {
   std::lock_guard lock(mutex_);
-  for (auto& row : links_) {
-    for (Link& link : row)
-      link.cut = true;
+  for (auto& row : conditions_) {
+    for (PathCondition& condition : row)
+      condition.cut = true;
   }
   for (const auto& group : groups) {
-    for (int a : group) {
-      for (int b : group)
-        links_.at(static_cast<std::size_t>(a)).at(static_cast<std::size_t>(b)).cut = false;
+    for (int from : group) {
+      for (int to : group)
+        conditions_.at(static_cast<std::size_t>(from)).at(static_cast<std::size_t>(to)).cut = false;
     }
   }
 }
 
-void Relays::pass(const Late& late) {
-  sockaddr_in to = parse_address(inner_[static_cast<std::size_t>(late.to)]);
-  sendto(sockets_[static_cast<std::size_t>(late.from)], late.bytes.data(), late.bytes.size(), 0,
-         reinterpret_cast<sockaddr*>(&to), sizeof to);
-  ++passed_;
+PathCondition DatagramRelays::condition(int from, int to) {
+  std::lock_guard lock(mutex_);
+  return conditions_[static_cast<std::size_t>(from)][static_cast<std::size_t>(to)];
 }
 
-void Relays::run() {
+void DatagramRelays::run() {
   std::vector<pollfd> polled;
-  for (int fd : sockets_)
-    polled.push_back({fd, POLLIN, 0});
-  std::uniform_real_distribution<double> chance;
-  while (!over_) {
-    double wait = late_.empty() ? 20 : std::clamp(late_.top().at - now_ms(), 0.0, 20.0);
-    poll(polled.data(), polled.size(), static_cast<int>(wait + 0.999));
-    for (std::size_t to = 0; to < polled.size(); ++to) {
-      if (!(polled[to].revents & POLLIN))
-        continue;
-      char buffer[2048];
-      sockaddr_in from{};
-      socklen_t size = sizeof from;
-      for (ssize_t n; (n = recvfrom(sockets_[to], buffer, sizeof buffer, 0,
-                                    reinterpret_cast<sockaddr*>(&from), &size)) >= 0;) {
-        longest_ = std::max<long>(longest_, n);
-        auto member = members_.find({from.sin_addr.s_addr, from.sin_port});
-        if (member == members_.end())
-          continue;
-        Link link;
-        {
-          std::lock_guard lock(mutex_);
-          link = links_[static_cast<std::size_t>(member->second)][to];
-        }
-        if (link.cut || chance(random_) < link.loss) {
-          ++dropped_;
-          continue;
-        }
-        std::string bytes(buffer, static_cast<std::size_t>(n));
-        if (!bytes.empty() && chance(random_) < link.spoilt)
-          bytes[random_() % bytes.size()] ^= static_cast<char>(1 << random_() % 8);
-        for (int copies = chance(random_) < link.twice ? 2 : 1; copies > 0; --copies) {
-          late_.push({now_ms() + link.delay_ms + link.jitter_ms * chance(random_), ++order_,
-                      member->second, static_cast<int>(to), bytes});
-        }
-      }
+  for (int descriptor : sockets_)
+    polled.push_back({descriptor, POLLIN, 0});
+  while (!stopping_) {
+    poll(polled.data(), polled.size(), poll_timeout_ms());
+    for (std::size_t i = 0; i < polled.size(); ++i) {
+      if ((polled[i].revents & POLLIN) != 0)
+        receive_all(static_cast<int>(i));
     }
-    for (; !late_.empty() && late_.top().at <= now_ms(); late_.pop())
-      pass(late_.top());
+    deliver_due();
   }
 }
 
+int DatagramRelays::poll_timeout_ms() const {
+  static constexpr double kRoundUp = 0.999;
+  if (delayed_.empty())
+    return static_cast<int>(kMaximumPollMs);
+  double wait_ms = std::clamp(delayed_.top().deliver_at_ms - now_ms(), 0.0, kMaximumPollMs);
+  return static_cast<int>(wait_ms + kRoundUp);
+}
+
+void DatagramRelays::receive_all(int to) {
+  int descriptor = sockets_[static_cast<std::size_t>(to)];
+  while (true) {
+    std::array<char, kMaximumDatagramBytes> buffer{};
+    sockaddr_in from{};
+    socklen_t size = sizeof from;
+    ssize_t received = recvfrom(descriptor, buffer.data(), buffer.size(), 0,
+                                reinterpret_cast<sockaddr*>(&from), &size);
+    if (received < 0)
+      return;
+    longest_datagram_ = std::max<long>(longest_datagram_, received);
+    auto member = members_.find({from.sin_addr.s_addr, from.sin_port});
+    if (member != members_.end())
+      accept_datagram(member->second, to, {buffer.data(), static_cast<std::size_t>(received)});
+  }
+}
+
+void DatagramRelays::accept_datagram(int from, int to, std::string bytes) {
+  PathCondition path = condition(from, to);
+  if (path.cut || chance_(random_) < path.loss)
+    return;
+  if (!bytes.empty() && chance_(random_) < path.corrupted)
+    bytes[random_() % bytes.size()] ^= static_cast<char>(1U << random_() % 8);
+  int deliveries = chance_(random_) < path.duplicated ? 2 : 1;
+  for (int i = 0; i < deliveries; ++i) {
+    double delay_ms = path.delay_ms + path.jitter_ms * chance_(random_);
+    delayed_.push({now_ms() + delay_ms, ++accepted_, from, to, bytes});
+  }
+}
+
+void DatagramRelays::deliver_due() {
+  while (!delayed_.empty() && delayed_.top().deliver_at_ms <= now_ms()) {
+    deliver(delayed_.top());
+    delayed_.pop();
+  }
+}
+
+void DatagramRelays::deliver(const DelayedDatagram& datagram) {
+  sockaddr_in receiver = parse_address(member_addresses_[static_cast<std::size_t>(datagram.to)]);
+  sendto(sockets_[static_cast<std::size_t>(datagram.from)], datagram.bytes.data(),
+         datagram.bytes.size(), 0, reinterpret_cast<sockaddr*>(&receiver), sizeof receiver);
+  ++passed_;
+}
+
 }  // namespace dispatcher::testbed
--- a/testbed/processes/process_fleet.cpp
+++ b/testbed/processes/process_fleet.cpp
@@ -8,91 +8,113 @@
 #include <filesystem>
 #include <fstream>
 #include <sstream>
+#include <utility>
 
 namespace dispatcher::testbed {
+namespace {
 
-ProcessFleet::ProcessFleet(Setup setup)
-    : setup_(std::move(setup)),
-      host_(own_host()),
-      workers_(host_, setup_.workers),
-      relays_(host_, setup_.members, setup_.seed) {
-  for (int i = 0; i < setup_.members; ++i)
-    members_.emplace_back();
-  workers_.limit(setup_.slots, setup_.places);
-  rate_ = setup_.rate;
-  char pattern[] = "/tmp/dispatcher-keys-XXXXXX";
-  folder_ = mkdtemp(pattern);
-}
+constexpr std::chrono::milliseconds kConditionCheckInterval{20};
+constexpr int kRequestTimeoutMs = 10'000;
+constexpr int kMemberSockets = 256;
 
-ProcessFleet::~ProcessFleet() {
-  orders_end();
-  std::error_code ignored;
-  std::filesystem::remove_all(folder_, ignored);
+std::string worker_uid(int worker) {
+  return "s-" + std::to_string(worker + 1);
 }
 
-namespace {
 void write_private(const std::string& path, const std::string& text) {
   std::ofstream(path, std::ios::trunc) << text;
   std::filesystem::permissions(
       path, std::filesystem::perms::owner_read | std::filesystem::perms::owner_write);
 }
+
+int count_occurrences(const std::string& text, const std::string& part) {
+  int count = 0;
+  for (std::size_t at = text.find(part); at != std::string::npos; at = text.find(part, at + 1))
+    ++count;
+  return count;
+}
+
 }  // namespace
 
-void ProcessFleet::keys(int i, const std::string& text) {
-  auto times = [&] {
-    std::string log = member(i).log();
-    std::string said = "keys: read again";
-    int n = 0;
-    for (std::size_t at = 0; (at = log.find(said, at)) != std::string::npos; ++at)
-      ++n;
-    return n;
+ProcessFleet::ProcessFleet(Setup setup)
+    : setup_(std::move(setup)),
+      host_(own_host()),
+      services_(host_, setup_.workers),
+      relays_(host_, setup_.members, setup_.seed),
+      members_(static_cast<std::size_t>(setup_.members)),
+      request_rate_(setup_.request_rate) {
+  services_.set_limits(setup_.slots, setup_.queue_places);
+  std::string pattern = "/tmp/dispatcher-keys-XXXXXX";
+  folder_ = mkdtemp(pattern.data());
+}
+
+ProcessFleet::~ProcessFleet() {
+  stop_requests();
+  std::error_code ignored;
+  std::filesystem::remove_all(folder_, ignored);
+}
+
+void ProcessFleet::set_keys(int number, const std::string& text) {
+  const std::string read_line = "keys: read again";
+  auto times_read = [&] {
+    return count_occurrences(member(number).log(), read_line);
   };
-  int before = times();
-  write_private(folder_ + "/" + std::to_string(i), text);
-  kill(member(i).pid(), SIGHUP);
-  wait([&] { return times() > before; });
+  int before = times_read();
+  write_private(key_file(number), text);
+  kill(member(number).pid(), SIGHUP);
+  wait_until([&] { return times_read() > before; });
 }
 
-void ProcessFleet::start(int i) {
-  auto& member = members_.at(static_cast<std::size_t>(i));
-  if (member) {
-    member->start_again();
+void ProcessFleet::start(int number) {
+  auto& process = members_.at(static_cast<std::size_t>(number));
+  if (process) {
+    process->start_again();
   } else {
-    Json::Value more;
-    Json::Value peers(Json::arrayValue);
-    for (const std::string& p : relays_.all()) {
-      if (setup_.seeds == 0)
-        peers.append(p);
-    }
-    more["peer_listen"] = relays_.listen(i);
-    more["peers"] = peers;
-    more["settings"]["Index"] = i;
-    more["settings"]["Balancers"] = setup_.members;
-    more["settings"]["Permissions"]["Peers"] = true;
-    Dispatcher::Setup one;
-    one.program = setup_.program;
-    one.config = setup_.config;
-    one.host = host_;
-    one.features = "streaming {} fleet { period_ms: " + std::to_string(setup_.period_ms) +
-                   " answer_ms: " + std::to_string(setup_.answer_ms) +
-                   " forget_s: " + std::to_string(setup_.forget_s);
-    for (int k = 0; k < setup_.seeds; ++k)
-      one.features += " seed: \"" + relays_.all()[static_cast<std::size_t>(k)] + "\"";
-    if (setup_.seeds > 0)
-      one.features += " advertise: \"" + relays_.all()[static_cast<std::size_t>(i)] + "\"";
-    if (!setup_.keys.empty()) {
-      std::string path = folder_ + "/" + std::to_string(i);
-      write_private(path, setup_.keys);
-      one.features += " key_file: \"" + path + "\"";
-    }
-    one.features += " }";
-    one.sockets = 256;
-    one.operators = true;
-    one.trace = setup_.trace;
-    one.more = more.toStyledString();
-    member = std::make_unique<Dispatcher>(one, workers_);
+    if (!setup_.keys.empty())
+      write_private(key_file(number), setup_.keys);
+    process = std::make_unique<DispatcherProcess>(member_setup(number), services_);
+  }
+  up_.insert(number);
+}
+
+DispatcherProcess::Setup ProcessFleet::member_setup(int number) const {
+  return {.program = setup_.program,
+          .config = setup_.config,
+          .features = member_features(number),
+          .host = host_,
+          .sockets = kMemberSockets,
+          .operators = true,
+          .more = member_config(number),
+          .trace = setup_.trace};
+}
+
+std::string ProcessFleet::member_features(int number) const {
+  const std::vector<std::string>& addresses = relays_.relay_addresses();
+  std::string text = "streaming {} fleet { period_ms: " + std::to_string(setup_.period_ms) +
+                     " answer_ms: " + std::to_string(setup_.answer_ms) +
+                     " forget_s: " + std::to_string(setup_.forget_s);
+  for (int i = 0; i < setup_.seeds; ++i)
+    text += " seed: \"" + addresses[static_cast<std::size_t>(i)] + "\"";
+  if (setup_.seeds > 0)
+    text += " advertise: \"" + addresses[static_cast<std::size_t>(number)] + "\"";
+  if (!setup_.keys.empty())
+    text += " key_file: \"" + key_file(number) + "\"";
+  return text + " }";
+}
+
+std::string ProcessFleet::member_config(int number) const {
+  Json::Value peers(Json::arrayValue);
+  if (setup_.seeds == 0) {
+    for (const std::string& address : relays_.relay_addresses())
+      peers.append(address);
   }
-  up_.insert(i);
+  Json::Value config;
+  config["peer_listen"] = relays_.member_address(number);
+  config["peers"] = peers;
+  config["settings"]["Index"] = number;
+  config["settings"]["Balancers"] = setup_.members;
+  config["settings"]["Permissions"]["Peers"] = true;
+  return config.toStyledString();
 }
 
 void ProcessFleet::start_all() {
@@ -100,153 +122,176 @@
     start(i);
 }
 
-void ProcessFleet::crash(int i) {
-  up_.erase(i);
-  member(i).crash();
+void ProcessFleet::crash(int number) {
+  up_.erase(number);
+  member(number).crash();
 }
 
-int ProcessFleet::leave(int i) {
-  up_.erase(i);
-  return member(i).end();
+int ProcessFleet::terminate(int number) {
+  up_.erase(number);
+  return member(number).end();
 }
 
-void ProcessFleet::stop(int i) {
-  up_.erase(i);
-  kill(member(i).pid(), SIGSTOP);
+void ProcessFleet::suspend(int number) {
+  up_.erase(number);
+  kill(member(number).pid(), SIGSTOP);
 }
-void ProcessFleet::wake(int i) {
-  up_.insert(i);
-  kill(member(i).pid(), SIGCONT);
+
+void ProcessFleet::resume(int number) {
+  up_.insert(number);
+  kill(member(number).pid(), SIGCONT);
 }
 
-Json::Value ProcessFleet::view(int i) {
-  Json::Value out;
-  Call c = call(member(i).operators(), "GET", "/admin/fleet");
-  if (c.status == 200)
-    std::istringstream(c.body) >> out;
-  return out;
+Json::Value ProcessFleet::view(int number) {
+  Json::Value view;
+  AdminResponse response = call(member(number).operators(), "GET", "/admin/fleet");
+  if (response.status == 200)
+    std::istringstream(response.body) >> view;
+  return view;
 }
 
 std::map<std::string, int> ProcessFleet::states(const Json::Value& view) {
-  std::map<std::string, int> out;
-  for (const Json::Value& m : view["members"])
-    ++out[m["state"].asString()];
-  return out;
+  std::map<std::string, int> counts;
+  for (const Json::Value& entry : view["members"])
+    ++counts[entry["state"].asString()];
+  return counts;
 }
 
-bool ProcessFleet::agree(const std::set<int>& these) {
+bool ProcessFleet::agree(const std::set<int>& members) {
   std::set<std::string> digests;
-  for (int i : these) {
-    Json::Value v = view(i);
-    auto s = states(v);
-    if (s["alive"] + 1 != static_cast<int>(these.size()) || s["suspect"] > 0)
+  for (int number : members) {
+    Json::Value seen = view(number);
+    std::map<std::string, int> counts = states(seen);
+    if (counts["alive"] + 1 != static_cast<int>(members.size()) || counts["suspect"] > 0)
       return false;
-    digests.insert(v["digest"].asString());
+    digests.insert(seen["digest"].asString());
   }
   return digests.size() == 1;
 }
 
-void ProcessFleet::wait(const std::function<bool()>& comes) {
-  while (!comes())
-    std::this_thread::sleep_for(std::chrono::milliseconds(20));
+void ProcessFleet::wait_until(const std::function<bool()>& condition) {
+  while (!condition())
+    std::this_thread::sleep_for(kConditionCheckInterval);
 }
 
-void ProcessFleet::orders_begin(const std::vector<int>& at) {
+void ProcessFleet::drain(int worker) {
+  services_.set_state(worker, "draining");
+  wait_until([&] { return services_.notified_watches() >= static_cast<int>(up_.size()); });
+  last_request_[worker_uid(worker)] = sent_;
+}
+
+void ProcessFleet::undrain(int worker) {
+  last_request_.erase(worker_uid(worker));
+  services_.set_state(worker, "up");
+}
+
+void ProcessFleet::start_requests(const std::vector<int>& members) {
   std::vector<std::string> addresses;
-  for (int i : at)
-    addresses.push_back(member(i).address());
-  auto one = [this, addresses](std::uint64_t id) {
-    Order o;
-    const std::string& to = addresses[id % addresses.size()];
-    o.id = id;
-    o.time_left_ms = 10'000;
-    o.query = "work=" + std::to_string(setup_.work_ms);
-    if (setup_.slots > 0) {
-      o.query += "&news=1&back=" + to.substr(to.find(':') + 1);
+  addresses.reserve(members.size());
+  for (int number : members)
+    addresses.push_back(member(number).address());
+  requests_ = std::thread([this, addresses] {
+    if (request_rate_ > 0) {
+      send_at_rate(addresses);
     } else {
-      o.query += "&reply=8";
-    }
-    o.extra_headers = "X-Weight-Hint: " + std::to_string(1000 * setup_.work_ms) + "\r\n";
-    Answer a = hand_in(to, o);
-    std::lock_guard lock(mutex_);
-    good_[id] = a.status == 200 && a.whole && (setup_.wanted_ms == 0 || a.ms <= setup_.wanted_ms);
-    answered_ += a.status != 0 && a.whole && !a.unread;
-    served_ += a.status == 200 && a.whole && !a.unread;
-  };
-  orders_ = std::thread([this, one] {
-    if (rate_ <= 0) {
-      while (!over_)
-        one(++given_);
-      return;
-    }
-    std::vector<std::thread> open;
-    auto next = std::chrono::steady_clock::now();
-    while (!over_) {
-      next += std::chrono::microseconds(static_cast<long>(1e6 / rate_));
-      std::this_thread::sleep_until(next);
-      open.emplace_back(one, ++given_);
+      send_in_sequence(addresses);
     }
-    for (std::thread& t : open)
-      t.join();
   });
 }
 
-bool ProcessFleet::in_time(std::uint64_t since) {
+void ProcessFleet::send_in_sequence(const std::vector<std::string>& addresses) {
+  while (!stopping_) {
+    std::uint64_t id = ++sent_;
+    send_request(id, addresses[id % addresses.size()]);
+  }
+}
+
+void ProcessFleet::send_at_rate(const std::vector<std::string>& addresses) {
+  static constexpr double kMicrosecondsPerSecond = 1e6;
+  std::vector<std::thread> open;
+  auto next = std::chrono::steady_clock::now();
+  while (!stopping_) {
+    next += std::chrono::microseconds(static_cast<long>(kMicrosecondsPerSecond / request_rate_));
+    std::this_thread::sleep_until(next);
+    std::uint64_t id = ++sent_;
+    const std::string& address = addresses[id % addresses.size()];
+    open.emplace_back([this, id, &address] { send_request(id, address); });
+  }
+  for (std::thread& thread : open)
+    thread.join();
+}
+
+void ProcessFleet::send_request(std::uint64_t id, const std::string& address) {
+  static constexpr int kMicrosecondsPerMs = 1000;
+  ClientRequest request;
+  request.id = id;
+  request.time_left_ms = kRequestTimeoutMs;
+  request.query = "work=" + std::to_string(setup_.work_ms);
+  if (setup_.slots > 0) {
+    request.query += "&news=1&back=" + address.substr(address.find(':') + 1);
+  } else {
+    request.query += "&reply=8";
+  }
+  request.extra_headers =
+      "X-Weight-Hint: " + std::to_string(kMicrosecondsPerMs * setup_.work_ms) + "\r\n";
+  ClientResponse response = hand_in(address, request);
+  bool complete = response.whole && !response.unread;
+  bool soon_enough = setup_.objective_ms == 0 || response.ms <= setup_.objective_ms;
+  std::lock_guard lock(mutex_);
+  in_time_[id] = response.status == 200 && response.whole && soon_enough;
+  answered_ += response.status != 0 && complete ? 1 : 0;
+  served_ += response.status == 200 && complete ? 1 : 0;
+}
+
+void ProcessFleet::stop_requests() {
+  stopping_ = true;
+  if (requests_.joinable())
+    requests_.join();
+}
+
+bool ProcessFleet::recovered(std::uint64_t since) {
+  static constexpr int kWindow = 100;
+  static constexpr int kInTimeInWindow = 95;
   std::lock_guard lock(mutex_);
-  int good = 0;
-  int all = 0;  // of the last hundred in a row
-  for (auto it = good_.upper_bound(since); it != good_.end(); ++it) {
-    if (!good_.contains(it->first - 1))
-      good = all = 0;
-    good += it->second;
-    ++all;
-    if (all > 100) {
-      --all;
-      good -= good_.at(it->first - 100);
+  int in_time = 0;
+  int consecutive = 0;  // answered requests, kWindow at most
+  for (auto it = in_time_.upper_bound(since); it != in_time_.end(); ++it) {
+    if (!in_time_.contains(it->first - 1)) {
+      in_time = 0;
+      consecutive = 0;
+    }
+    in_time += it->second ? 1 : 0;
+    ++consecutive;
+    if (consecutive > kWindow) {
+      --consecutive;
+      in_time -= in_time_.at(it->first - kWindow) ? 1 : 0;
     }
-    if (all == 100 && good >= 95)
+    if (consecutive == kWindow && in_time >= kInTimeInWindow)
       return true;
   }
   return false;
 }
 
-void ProcessFleet::drain(int worker) {
-  workers_.set_state(worker, "draining");
-  wait([&] { return workers_.told_to() >= static_cast<int>(up_.size()); });
-  drained_["s-" + std::to_string(worker + 1)] = given_;
-}
-
-void ProcessFleet::orders_end() {
-  over_ = true;
-  if (orders_.joinable())
-    orders_.join();
-}
-
-ProcessFleet::Account ProcessFleet::account() {
-  orders_end();
-  std::map<std::string, int> begun;
-  Account a;
-  for (const Seen& s : workers_.seen()) {
-    begun[s.id] += s.begun;
-    a.begun += s.begun;
-    auto drained = drained_.find(s.uid);
-    a.to_drained += drained != drained_.end() && std::stoull(s.id, nullptr, 16) > drained->second;
+ProcessFleet::RequestAccount ProcessFleet::account() {
+  stop_requests();
+  RequestAccount account{.sent = sent_,
+                         .answered = answered_,
+                         .served = served_,
+                         .longest_datagram = relays_.longest_datagram()};
+  std::map<std::string, int> begun_by_request;
+  for (const ReceivedAttempt& attempt : services_.seen()) {
+    begun_by_request[attempt.id] += attempt.begun ? 1 : 0;
+    account.begun += attempt.begun ? 1 : 0;
+    auto last = last_request_.find(attempt.uid);
+    if (last != last_request_.end() && std::stoull(attempt.id, nullptr, 16) > last->second)
+      ++account.to_drained;
   }
-  a.given = given_;
-  a.answered = answered_;
-  a.served = served_;
-  a.longest = relays_.longest();
-  for (const auto& [id, times] : begun)
-    a.begun_twice += times > 1;
+  for (const auto& [id, begun] : begun_by_request)
+    account.begun_twice += begun > 1 ? 1 : 0;
   std::lock_guard lock(mutex_);
-  for (const auto& [id, good] : good_)
-    a.in_time += good;
-  return a;
-}
-
-void ProcessFleet::raise(int worker) {
-  drained_.erase("s-" + std::to_string(worker + 1));
-  workers_.set_state(worker, "up");
+  for (const auto& [id, in_time] : in_time_)
+    account.in_time += in_time ? 1 : 0;
+  return account;
 }
 
 }  // namespace dispatcher::testbed
--- a/testbed/processes/process_fleet.h
+++ b/testbed/processes/process_fleet.h
@@ -1,10 +1,11 @@
-// A fleet of the program's own processes, with a relay on every path between them and orders that
-// run throughout. It ends its own children whatever happens to it.
+// A fleet of the program's own processes, with a relay on every path between them and requests
+// that clients send throughout.
 #pragma once
 
 #include <json/value.h>
 
 #include <atomic>
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <memory>
@@ -19,95 +20,120 @@
 
 namespace dispatcher::testbed {
 
+// Members and workers are numbered from 0. The processes end with the object. Requests run on
+// threads of their own; the other functions belong to one thread.
 class ProcessFleet {
  public:
   struct Setup {
     std::string program;
-    std::string config;  // config: a file
+    std::string config;  // path of a file
     int members = 8;
     int workers = 3;
+    // Of the membership view.
     int period_ms = 200;
-    int answer_ms = 60;      // of the fleet's view
-    std::uint64_t seed = 1;  // of what the relays draw
-    std::string keys{};      // text of the key file that each has of its own; empty: none
-    int seeds = 0;           // each knows so many of the first members; 0: all as peers
+    int answer_ms = 60;
     int forget_s = 3600;
+    std::uint64_t seed = 1;  // of the relays' random faults
+    std::string keys{};      // text of each member's key file; empty: none
+    int seeds = 0;           // each member knows that many of the first ones; 0: all, as peers
     bool trace = false;
+    // Of each worker; 0 slots: any number of requests at a time.
     int slots = 0;
-    int places = 0;  // of each worker; 0: any number of orders at a time
+    int queue_places = 0;
+    // Of each request.
     int work_ms = 5;
-    int wanted_ms = 0;  // of each order; wanted_ms: after this it is late
-    double rate = 0;  // orders a second, whether the ones before have been answered or not; 0: one
-                      // after another
+    int objective_ms = 0;  // later responses are not in time; 0: all are
+    // Open-loop requests a second; 0: one request after another.
+    double request_rate = 0;
   };
   explicit ProcessFleet(Setup setup);
+  ProcessFleet(const ProcessFleet&) = delete;
+  ProcessFleet& operator=(const ProcessFleet&) = delete;
   ~ProcessFleet();
 
-  void start(int i);  // again too, after a crash or a farewell: it knows nothing of before
+  // Starts a member, also after its crash or end; it then knows nothing of before.
+  void start(int number);
   void start_all();
-  void crash(int i);                          // SIGKILL
-  int leave(int i);                           // SIGTERM; its exit code
-  void stop(int i);                           // SIGSTOP; not up until it is woken
-  void wake(int i);                           // SIGCONT
-  void keys(int i, const std::string& text);  // and SIGHUP; returns once they are read
-  Dispatcher& member(int i) { return *members_.at(static_cast<std::size_t>(i)); }
-  Relays& relays() { return relays_; }
+  void crash(int number);     // SIGKILL
+  int terminate(int number);  // SIGTERM; returns the exit code
+  void suspend(int number);   // SIGSTOP; the member counts as down until resume()
+  void resume(int number);    // SIGCONT
+  // Replaces a member's key file and returns once the member has read it.
+  void set_keys(int number, const std::string& text);
+
+  DispatcherProcess& member(int number) { return *members_.at(static_cast<std::size_t>(number)); }
+  DatagramRelays& relays() { return relays_; }
+  StubServices& services() { return services_; }
+  // The members that are up.
   const std::set<int>& up() const { return up_; }
 
-  Json::Value view(int i);  // null where it does not answer
+  // A member's answer to /admin/fleet; null where it gives none.
+  Json::Value view(int number);
+  // The number of members in each state, by the view's name for the state.
   static std::map<std::string, int> states(const Json::Value& view);
-  // All of `these` hold one digest, hold alive just these, and doubt nobody.
-  bool agree(const std::set<int>& these);
-  // Waits for an event, however long it takes.
-  static void wait(const std::function<bool()>& comes);
-  void settles() {
-    wait([this] { return agree(up_); });
+  // Whether all of `members` have one digest, hold just these alive and suspect none.
+  bool agree(const std::set<int>& members);
+  // Waits for `condition` without a deadline; the test's own timeout bounds it.
+  static void wait_until(const std::function<bool()>& condition);
+  // Waits until all members that are up agree.
+  void wait_until_agreed() {
+    wait_until([this] { return agree(up_); });
   }
 
-  // Of the workers. Returns when the list has told it to all that are up: no order that is
-  // handed in from then on may go there.
+  // Drains a worker. Returns when all members that are up have been notified: requests sent from
+  // then on may not reach the worker.
   void drain(int worker);
-  void raise(int worker);  // back in the list
-  Fleet& workers() { return workers_; }
+  // Lists a drained worker as up again.
+  void undrain(int worker);
+
+  // Sends requests to these members in turn, until stop_requests().
+  void start_requests(const std::vector<int>& members);
+  void stop_requests();
+  void set_request_rate(double per_second) { request_rate_ = per_second; }
+  std::uint64_t sent_requests() const { return sent_; }
+  // Whether, of the requests sent after the first `since`, 95 of a hundred in a row were answered
+  // well and in time.
+  bool recovered(std::uint64_t since);
 
-  // Orders at the members named, until orders_end().
-  void orders_begin(const std::vector<int>& at);
-  void orders_end();
-  void rate(double a_second) { rate_ = a_second; }
-  // Of the orders handed in from here on, 95 of a hundred in a row were answered well and as soon
-  // as wanted.
-  std::uint64_t given() const { return given_; }
-  bool in_time(std::uint64_t since);
-  struct Account {  // by what the stubs saw
-    std::uint64_t given = 0;
-    std::uint64_t answered = 0;
-    std::uint64_t served = 0;
-    std::uint64_t begun_twice = 0;
-    std::uint64_t begun = 0;
+  // What the stubs saw.
+  struct RequestAccount {
+    std::uint64_t sent = 0;
+    std::uint64_t answered = 0;  // with a complete response
+    std::uint64_t served = 0;    // of these, with status 200
     std::uint64_t in_time = 0;
-    std::uint64_t to_drained = 0;  // handed in after all had been told
-    long longest = 0;              // datagram, in bytes
+    std::uint64_t begun = 0;        // attempts that reached a worker
+    std::uint64_t begun_twice = 0;  // requests
+    std::uint64_t to_drained = 0;   // attempts at workers that had been drained before
+    long longest_datagram = 0;      // bytes
   };
-  Account account();  // ends the orders
+  // Stops the requests.
+  RequestAccount account();
 
  private:
+  std::string key_file(int number) const { return folder_ + "/" + std::to_string(number); }
+  DispatcherProcess::Setup member_setup(int number) const;
+  std::string member_features(int number) const;
+  std::string member_config(int number) const;
+  void send_request(std::uint64_t id, const std::string& address);
+  void send_in_sequence(const std::vector<std::string>& addresses);
+  void send_at_rate(const std::vector<std::string>& addresses);
+
   Setup setup_;
   std::string host_;
-  std::string folder_;  // folder: of key files
-  Fleet workers_;
-  Relays relays_;
-  std::vector<std::unique_ptr<Dispatcher>> members_;
+  std::string folder_;  // of key files
+  StubServices services_;
+  DatagramRelays relays_;
+  std::vector<std::unique_ptr<DispatcherProcess>> members_;
   std::set<int> up_;
-  std::thread orders_;
-  std::atomic<bool> over_{false};
-  std::atomic<std::uint64_t> given_{0};
+  std::thread requests_;
+  std::atomic<bool> stopping_{false};
+  std::atomic<std::uint64_t> sent_{0};
   std::atomic<std::uint64_t> answered_{0};
   std::atomic<std::uint64_t> served_{0};
-  std::atomic<double> rate_{0};
-  std::mutex mutex_;                    // of what follows
-  std::map<std::uint64_t, bool> good_;  // by order that has been answered: in time
-  std::map<std::string, std::uint64_t>
-      drained_;  // by worker: the last order that may have gone there
+  std::atomic<double> request_rate_{0};
+  std::mutex mutex_;                                   // guards in_time_
+  std::map<std::uint64_t, bool> in_time_;              // by id of an answered request
+  std::map<std::string, std::uint64_t> last_request_;  // that may reach a drained worker, by uid
 };
 
 }  // namespace dispatcher::testbed
--- a/testbed/stubs/cpu_starvation.h
+++ b/testbed/stubs/cpu_starvation.h
@@ -1,6 +1,5 @@
-// Whether the machine gave a fleet of processes the time that they wanted. Guards verdicts that
-// stand on the clock: orders that are late because dispatchers waited for a core tell nothing of
-// the program.
+// Whether the machine gave a fleet of processes the CPU time that it wanted. A verdict that depends
+// on time is worthless where requests were late because dispatchers waited for a core.
 #pragma once
 
 #include <istream>
@@ -8,45 +7,50 @@
 
 namespace dispatcher::testbed {
 
-// Of /proc/stat: ticks of all cores, and those of them that the machine below had for others.
+// Ticks of all cores together, from /proc/stat.
 struct CoreTicks {
   double all = 0;
-  double stolen = 0;
+  double stolen = 0;  // that the hypervisor gave to others
 };
+
 inline CoreTicks read_core_ticks(std::istream& stat) {
-  CoreTicks t;
-  std::string word;
-  stat >> word;  // "cpu": user, nice, system, idle, iowait, irq, softirq, steal
-  double n = 0;
-  for (int i = 0; i < 8 && stat >> n; ++i) {
-    t.all += n;
-    t.stolen = i == 7 ? n : 0;
+  // "cpu": user, nice, system, idle, iowait, irq, softirq, steal
+  static constexpr int kFields = 8;
+  CoreTicks ticks;
+  std::string label;
+  stat >> label;
+  double value = 0;
+  for (int i = 0; i < kFields && stat >> value; ++i) {
+    ticks.all += value;
+    ticks.stolen = i == kFields - 1 ? value : 0;
   }
-  return t;
+  return ticks;
 }
+
+// The share of the ticks between two readings that was stolen.
 inline double stolen_part(const CoreTicks& from, const CoreTicks& to) {
   return to.all > from.all ? (to.stolen - from.stolen) / (to.all - from.all) : 0;
 }
 
-// A run whose orders were late while its dispatchers stood in line for a core, or the machine was
-// away, for more than this part of the time tells nothing either way, and is played again; the last
-// play counts all the same, and so does a broken rule. The burst under the sanitizers shows 0.04
-// beside a bench, 0.13 beside ten busy loops, where its verdict still holds, and 0.39 on one core,
-// where 240 orders a second are more than the processes can do.
+// A run whose requests were late while its processes waited for a core for more than this share of
+// the time is repeated. The last run counts in any case, and so does a broken rule.
 constexpr double kStarved = 0.15;
 constexpr int kMostPlays = 3;
 
 struct Verdict {
-  bool rules = true;
-  bool in_time = true;  // kept
-  double starved = 0;   // waited for a core, as a part of the time
+  bool rules = true;    // every request was answered as it must be
+  bool in_time = true;  // enough of them met their latency objective
+  double starved = 0;   // share of the time that processes waited for a core
 };
+
 enum class Judgement { Kept, Broken, PlayAgain };
-inline Judgement judge(const Verdict& v, int plays) {
-  if (v.rules && v.in_time)
+
+// `plays`: runs so far, this one included.
+inline Judgement judge(const Verdict& verdict, int plays) {
+  if (verdict.rules && verdict.in_time)
     return Judgement::Kept;
-  return v.rules && v.starved > kStarved && plays < kMostPlays ? Judgement::PlayAgain
-                                                               : Judgement::Broken;
+  bool inconclusive = verdict.rules && verdict.starved > kStarved && plays < kMostPlays;
+  return inconclusive ? Judgement::PlayAgain : Judgement::Broken;
 }
 
 }  // namespace dispatcher::testbed
--- a/tests/processes/fleet_process_test.cpp
+++ b/tests/processes/fleet_process_test.cpp
@@ -14,17 +14,17 @@
 
 constexpr int kMembers = 8;
 
-ProcessFleet::Setup setup() {
+ProcessFleet::Setup make_setup() {
   return {.program = std::getenv("DISPATCHER"), .config = std::getenv("DISPATCHER_CONFIG")};
 }
 
-struct Eight : ProcessFleet {
-  explicit Eight(Setup s = setup()) : ProcessFleet(std::move(s)) {}
-  void all_answered() {
-    Account a = account();
-    CHECK(a.served == a.given);
-    CHECK(a.begun_twice == 0);  // the orders are of a class that must not run twice
-    CHECK(a.longest <= 256);
+struct EightMembers : ProcessFleet {
+  explicit EightMembers(Setup setup = make_setup()) : ProcessFleet(std::move(setup)) {}
+  void check_all_served() {
+    RequestAccount requests = account();
+    CHECK(requests.served == requests.sent);
+    CHECK(requests.begun_twice == 0);  // the orders are of a class that must not run twice
+    CHECK(requests.longest_datagram <= 256);
   }
   // By member, itself among them.
   std::map<std::string, unsigned> incarnations(int i) {
@@ -34,7 +34,7 @@
       out[m["member"].asString()] = m["incarnation"].asUInt();
     return out;
   }
-  bool any_log_says(const std::string& text) {
+  bool any_log_contains(const std::string& text) {
     for (int i : up()) {
       if (member(i).log().find(text) != std::string::npos)
         return true;
@@ -46,20 +46,20 @@
 }  // namespace
 
 TEST_CASE("a join, a crash, a restart and a farewell reach all members") {
-  Eight f;
+  EightMembers fleet;
   for (int i = 0; i < kMembers - 1; ++i)
-    f.start(i);
-  f.settles();
-  f.orders_begin({0, 1});
-  f.start(kMembers - 1);
-  f.settles();
-  f.crash(3);
-  f.settles();
-  CHECK(f.states(f.view(0))["dead"] == 1);
-  f.start(3);  // knows nothing of before
-  f.settles();
+    fleet.start(i);
+  fleet.wait_until_agreed();
+  fleet.start_requests({0, 1});
+  fleet.start(kMembers - 1);
+  fleet.wait_until_agreed();
+  fleet.crash(3);
+  fleet.wait_until_agreed();
+  CHECK(fleet.states(fleet.view(0))["dead"] == 1);
+  fleet.start(3);  // knows nothing of before
+  fleet.wait_until_agreed();
   std::string command =
-      std::string(std::getenv("DISPATCHER")) + " fleet --ops " + f.member(0).operators();
+      std::string(std::getenv("DISPATCHER")) + " fleet --ops " + fleet.member(0).operators();
   auto print = [](const std::string& line_of_shell) {
     FILE* table = popen(line_of_shell.c_str(), "r");
     std::string printed;
@@ -72,22 +72,22 @@
   // meanwhile.
   std::string printed;
   std::string digest;
-  f.wait([&] {
-    digest = f.view(0)["digest"].asString();
+  fleet.wait_until([&] {
+    digest = fleet.view(0)["digest"].asString();
     printed = print(command);
-    return f.view(0)["digest"].asString() == digest;
+    return fleet.view(0)["digest"].asString() == digest;
   });
   CHECK(printed.find("digest " + digest) != std::string::npos);
   CHECK(std::ranges::count(printed, '\n') == 2 + kMembers - 1);
   CHECK(
       std::system((std::string(std::getenv("DISPATCHER")) + " fleet --ops 127.0.0.1:1 2>/dev/null")
                       .c_str()) == 1 << 8);
-  CHECK(f.leave(4) == 0);
-  f.wait([&] { return f.states(f.view(0))["left"] == 1; });
-  f.settles();
-  Call page;
-  f.wait([&] {  // the others alive, as before
-    page = call(f.member(0).operators(), "GET", "/admin/stats");
+  CHECK(fleet.terminate(4) == 0);
+  fleet.wait_until([&] { return fleet.states(fleet.view(0))["left"] == 1; });
+  fleet.wait_until_agreed();
+  AdminResponse page;
+  fleet.wait_until([&] {  // the others alive, as before
+    page = call(fleet.member(0).operators(), "GET", "/admin/stats");
     return page.figure("dispatcher.fleet.alive") == kMembers - 2;
   });
   CHECK(page.figure("dispatcher.fleet.left") == 1);
@@ -100,203 +100,207 @@
   bool seen = false;
   for (char line[256]; std::fgets(line, sizeof line, table);) {
     if (!std::exchange(killed, true))
-      f.crash(5);
+      fleet.crash(5);
     if (!seen && (seen = std::string_view(line).find("  dead ") != std::string_view::npos))
-      f.crash(0);
+      fleet.crash(0);
   }
   CHECK(seen);
   CHECK(pclose(table) == 1 << 8);
-  f.settles();
-  f.orders_end();
+  fleet.wait_until_agreed();
+  fleet.stop_requests();
 }
 
 TEST_CASE("half of the members crash at once, and come back") {
-  Eight f;
-  f.start_all();
-  f.settles();
-  f.orders_begin({0, 1});
+  EightMembers fleet;
+  fleet.start_all();
+  fleet.wait_until_agreed();
+  fleet.start_requests({0, 1});
   for (int i : {4, 5, 6, 7})
-    f.crash(i);
-  f.settles();
+    fleet.crash(i);
+  fleet.wait_until_agreed();
   for (int i : {4, 5, 6, 7})
-    f.start(i);
-  f.settles();
-  f.all_answered();
+    fleet.start(i);
+  fleet.wait_until_agreed();
+  fleet.check_all_served();
 }
 
 TEST_CASE("two halves, and one apart from all others, find each other again") {
-  Eight f;
-  f.start_all();
-  f.settles();
-  f.orders_begin({0, 5});
+  EightMembers fleet;
+  fleet.start_all();
+  fleet.wait_until_agreed();
+  fleet.start_requests({0, 5});
   using Groups = std::vector<std::vector<int>>;
   for (const Groups& groups :
        {Groups{{0, 1, 2, 3}, {4, 5, 6, 7}}, Groups{{0}, {1, 2, 3, 4, 5, 6, 7}}}) {
-    f.relays().split(groups);
+    fleet.relays().split(groups);
     for (const auto& group : groups)
-      f.wait([&] { return f.agree({group.begin(), group.end()}); });
-    CHECK_FALSE(f.agree(f.up()));  // each side holds the other dead
-    f.relays().set_all({});
-    f.settles();
+      fleet.wait_until([&] { return fleet.agree({group.begin(), group.end()}); });
+    CHECK_FALSE(fleet.agree(fleet.up()));  // each side holds the other dead
+    fleet.relays().set_all_paths({});
+    fleet.wait_until_agreed();
   }
-  f.all_answered();
+  fleet.check_all_served();
 }
 
 TEST_CASE(
     "a path cut one way, overlapping halves, and a fifth of all messages lost, late or spoilt "
     "leave all "
     "alive") {
-  Eight f;
-  f.start_all();
-  f.settles();
-  f.orders_begin({0, 1});
+  EightMembers fleet;
+  fleet.start_all();
+  fleet.wait_until_agreed();
+  fleet.start_requests({0, 1});
   // The fault stays until all have probed all several times over, and under it they come to agree
   // that all are alive. Not that nobody was held dead for a moment: on a machine that is busy
   // enough anybody may be.
-  auto agree_all_the_same = [&] {
+  auto wait_until_agreed_under_fault = [&] {
     std::map<int, std::uint64_t> before;
-    for (int i : f.up())
-      before[i] = f.view(i)["sent"].asUInt64();
-    for (int i : f.up())
-      f.wait([&] { return f.view(i)["sent"].asUInt64() > before[i] + 4 * kMembers; });
-    f.settles();
+    for (int i : fleet.up())
+      before[i] = fleet.view(i)["sent"].asUInt64();
+    for (int i : fleet.up())
+      fleet.wait_until([&] { return fleet.view(i)["sent"].asUInt64() > before[i] + 4 * kMembers; });
+    fleet.wait_until_agreed();
   };
-  f.relays().set(2, 3, {.cut = true});
-  agree_all_the_same();
-  f.relays().set_all({});
-  f.relays().split({{0, 1, 2, 3, 4}, {3, 4, 5, 6, 7}});  // 0 hears 3, 3 hears 7, 0 does not hear 7
-  agree_all_the_same();
-  f.relays().set_all({.loss = 0.2, .twice = 0.1, .spoilt = 0.05, .delay_ms = 2, .jitter_ms = 10});
-  agree_all_the_same();
-  f.relays().set_all({});
-  f.settles();
-  f.all_answered();
+  fleet.relays().set_path(2, 3, {.cut = true});
+  wait_until_agreed_under_fault();
+  fleet.relays().set_all_paths({});
+  fleet.relays().split(
+      {{0, 1, 2, 3, 4}, {3, 4, 5, 6, 7}});  // 0 hears 3, 3 hears 7, 0 does not hear 7
+  wait_until_agreed_under_fault();
+  fleet.relays().set_all_paths(
+      {.loss = 0.2, .duplicated = 0.1, .corrupted = 0.05, .delay_ms = 2, .jitter_ms = 10});
+  wait_until_agreed_under_fault();
+  fleet.relays().set_all_paths({});
+  fleet.wait_until_agreed();
+  fleet.check_all_served();
 }
 
 TEST_CASE("the two processes of an upgrade are one member, which never leaves") {
-  Eight f;
-  f.start_all();
-  f.settles();
-  f.orders_begin({0, 1});
-  auto before = f.incarnations(5);
+  EightMembers fleet;
+  fleet.start_all();
+  fleet.wait_until_agreed();
+  fleet.start_requests({0, 1});
+  auto before = fleet.incarnations(5);
   // A process that inherits nothing takes the second of its start, which must be another one to
   // show.
-  unsigned own = f.view(5)["incarnation"].asUInt();
-  f.wait([&] {
+  unsigned own = fleet.view(5)["incarnation"].asUInt();
+  fleet.wait_until([&] {
     return std::chrono::system_clock::now() >=
            std::chrono::sys_seconds(std::chrono::seconds(own + 1));
   });
-  REQUIRE(f.member(5).start_beside());
-  f.settles();
+  REQUIRE(fleet.member(5).start_beside());
+  fleet.wait_until_agreed();
   // What was known went over: of each member the very incarnation of before. On a busy machine
   // anybody may come to be suspected for a moment, and refutes that with the next one; no other
   // step up is right.
-  auto after = f.incarnations(5);
+  auto after = fleet.incarnations(5);
   CHECK(after.size() == before.size());
   for (const auto& [who, incarnation] : after) {
     REQUIRE(before.contains(who));
     INFO(who << " had incarnation " << before[who] << ", has " << incarnation);
     CHECK(incarnation >= before[who]);
     for (unsigned step = before[who]; step < incarnation; ++step)
-      CHECK(f.any_log_says(who + " is suspect, incarnation " + std::to_string(step) + "\n"));
+      CHECK(
+          fleet.any_log_contains(who + " is suspect, incarnation " + std::to_string(step) + "\n"));
   }
-  CHECK(f.member(5).end_old() == 0);
-  f.settles();
+  CHECK(fleet.member(5).end_old() == 0);
+  fleet.wait_until_agreed();
   for (int i = 0; i < kMembers; ++i)
-    CHECK(f.member(i).log().find("is left") == std::string::npos);
-  f.all_answered();
+    CHECK(fleet.member(i).log().find("is left") == std::string::npos);
+  fleet.check_all_served();
 }
 
 TEST_CASE("one that is stopped and wakes refutes its death") {
-  Eight f;
-  f.start_all();
-  f.settles();
-  f.orders_begin({0, 1});
-  auto incarnation = f.view(6)["incarnation"].asUInt();
-  f.stop(6);
-  f.settles();
-  f.wake(6);
-  f.settles();
-  CHECK(f.view(6)["incarnation"].asUInt() > incarnation);
-  f.all_answered();
+  EightMembers fleet;
+  fleet.start_all();
+  fleet.wait_until_agreed();
+  fleet.start_requests({0, 1});
+  auto incarnation = fleet.view(6)["incarnation"].asUInt();
+  fleet.suspend(6);
+  fleet.wait_until_agreed();
+  fleet.resume(6);
+  fleet.wait_until_agreed();
+  CHECK(fleet.view(6)["incarnation"].asUInt() > incarnation);
+  fleet.check_all_served();
 }
 
 TEST_CASE("keys are exchanged while the fleet serves, and whoever has another is a stranger") {
   const std::string one = "key { id: 1 secret: \"" + std::string(64, 'a') + "\" }\n";
   const std::string two = "key { id: 2 secret: \"" + std::string(64, 'b') + "\" }\n";
   const std::string foreign = "key { id: 1 secret: \"" + std::string(64, 'c') + "\" }\n";
-  ProcessFleet::Setup s = setup();
-  s.keys = one;
-  Eight f(s);
-  f.start_all();
-  f.settles();
-  f.orders_begin({0, 1});
-  CHECK(f.view(0)["sealed"].asBool());
+  ProcessFleet::Setup setup = make_setup();
+  setup.keys = one;
+  EightMembers fleet(setup);
+  fleet.start_all();
+  fleet.wait_until_agreed();
+  fleet.start_requests({0, 1});
+  CHECK(fleet.view(0)["sealed"].asBool());
   std::map<int, std::uint64_t> incarnations;
-  for (int i : f.up())
-    incarnations[i] = f.view(i)["incarnation"].asUInt64();
+  for (int i : fleet.up())
+    incarnations[i] = fleet.view(i)["incarnation"].asUInt64();
   for (const std::string& text : {one + two, two + one, two}) {
-    for (int i : f.up()) {
-      std::uint64_t before = f.view(0)["sent"].asUInt64();
-      f.keys(i, text);
+    for (int i : fleet.up()) {
+      std::uint64_t before = fleet.view(0)["sent"].asUInt64();
+      fleet.set_keys(i, text);
       if (i == 3) {
-        f.wait([&] {
-          return f.view(0)["sent"].asUInt64() > before + 16;
+        fleet.wait_until([&] {
+          return fleet.view(0)["sent"].asUInt64() > before + 16;
         });  // half of them hold another
       }
     }
-    f.settles();
+    fleet.wait_until_agreed();
   }
-  for (int i : f.up())
-    CHECK(f.states(f.view(i))["dead"] == 0);
-  f.keys(7, foreign);
+  for (int i : fleet.up())
+    CHECK(fleet.states(fleet.view(i))["dead"] == 0);
+  fleet.set_keys(7, foreign);
   std::set<int> others = {0, 1, 2, 3, 4, 5, 6};
-  f.wait([&] { return f.agree(others); });
-  CHECK(f.states(f.view(0))["dead"] == 1);
-  f.wait([&] { return f.view(0)["dropped"]["unknown key"].asUInt() > 0; });
-  f.keys(7, two);
-  f.settles();
-  f.all_answered();
+  fleet.wait_until([&] { return fleet.agree(others); });
+  CHECK(fleet.states(fleet.view(0))["dead"] == 1);
+  fleet.wait_until([&] { return fleet.view(0)["dropped"]["unknown key"].asUInt() > 0; });
+  fleet.set_keys(7, two);
+  fleet.wait_until_agreed();
+  fleet.check_all_served();
 }
 
 TEST_CASE(
     "what was recorded of a fleet counts for nothing when it is played again, and strangers are "
     "not heard") {
-  ProcessFleet::Setup s = setup();
-  s.keys = "key { id: 1 secret: \"" + std::string(64, 'a') + "\" }\n";
-  Eight f(s);
-  f.start_all();
-  f.settles();
-  f.orders_begin({0, 1});
-  f.relays().set_all(
-      {.twice = 1});  // each datagram comes again, from the address that it came from
-  f.wait([&] { return f.view(0)["dropped"]["came before"].asUInt() > 40; });
-  f.relays().set_all({.spoilt = 0.5});
-  f.wait([&] { return f.view(0)["dropped"]["wrong hash"].asUInt() > 10; });
-  f.relays().set_all({});
-  f.settles();
-  f.all_answered();
+  ProcessFleet::Setup setup = make_setup();
+  setup.keys = "key { id: 1 secret: \"" + std::string(64, 'a') + "\" }\n";
+  EightMembers fleet(setup);
+  fleet.start_all();
+  fleet.wait_until_agreed();
+  fleet.start_requests({0, 1});
+  fleet.relays().set_all_paths(
+      {.duplicated = 1});  // each datagram comes again, from the address that it came from
+  fleet.wait_until([&] { return fleet.view(0)["dropped"]["came before"].asUInt() > 40; });
+  fleet.relays().set_all_paths({.corrupted = 0.5});
+  fleet.wait_until([&] { return fleet.view(0)["dropped"]["wrong hash"].asUInt() > 10; });
+  fleet.relays().set_all_paths({});
+  fleet.wait_until_agreed();
+  fleet.check_all_served();
 }
 
 TEST_CASE(
     "members that know two seeds alone find all others, also after a seed has died, and forget the "
     "dead") {
-  ProcessFleet::Setup s = setup();
-  s.seeds = 2;
-  s.forget_s = 10;
-  Eight f(s);
-  f.start_all();
-  f.settles();
-  f.orders_begin({1, 2});
-  f.crash(0);
-  f.crash(7);
-  f.settles();
-  CHECK(f.view(3)["members"].size() == 7);
-  f.wait([&] { return f.view(3)["members"].size() == 6; });  // 7 is forgotten, the seed is not
-  CHECK(f.states(f.view(3))["dead"] == 1);
-  f.start(7);  // by the other seed
-  f.settles();
-  f.start(0);
-  f.settles();
-  f.all_answered();
+  ProcessFleet::Setup setup = make_setup();
+  setup.seeds = 2;
+  setup.forget_s = 10;
+  EightMembers fleet(setup);
+  fleet.start_all();
+  fleet.wait_until_agreed();
+  fleet.start_requests({1, 2});
+  fleet.crash(0);
+  fleet.crash(7);
+  fleet.wait_until_agreed();
+  CHECK(fleet.view(3)["members"].size() == 7);
+  fleet.wait_until(
+      [&] { return fleet.view(3)["members"].size() == 6; });  // 7 is forgotten, the seed is not
+  CHECK(fleet.states(fleet.view(3))["dead"] == 1);
+  fleet.start(7);  // by the other seed
+  fleet.wait_until_agreed();
+  fleet.start(0);
+  fleet.wait_until_agreed();
+  fleet.check_all_served();
 }
