--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -1,44 +1,62 @@
 // What a fleet of a hundred dispatchers costs and how soon it learns: a table of counts over the
-// scenes of testbed/fleet_scenarios.h, with news between dispatchers and without, and with a bad
-// variant.
+// scenarios of testbed/simulation/fleet_scenarios.h, with gossip ("on"), without it ("off"), and
+// with dispatchers that are each configured as the only one ("alone").
 //
 //     dispatcher_bench_fleet [SEED]
+#include <algorithm>
 #include <cstdio>
+#include <exception>
 #include <string>
 
 #include "testbed/simulation/fleet_scenarios.h"
 
 using namespace dispatcher::testbed;
 
-int main(int argc, char** argv) {
-  std::uint64_t seed = argc > 1 ? std::stoull(argv[1]) : 1;
+namespace {
+
+void print_header() {
   std::printf(
       "%-9s %-6s %6s %6s %6s %6s %5s | %5s %5s %5s | %6s %6s %6s %5s | %7s %7s | %5s %5s %6s | %5s "
       "%6s %6s\n",
       "scene", "", "orders", "served", "late", "refus", "fail", "att/o", "copy", "prb/o", "calls",
       "failed", "lines", "peak", "messag", "bytes", "falln", "cold", "used s", "after", "p50 ms",
       "p95 ms");
-  for (const FleetScenario& scene : fleet_scenarios()) {
-    for (const char* variant : {"on", "off", "alone"}) {
-      FleetSimulation::Options o;
-      o.seed = seed;
-      o.news = std::string(variant) != "off";
-      o.thinks_alone = std::string(variant) == "alone";
-      FleetCounts c = play(scene, o);
-      long peak = c.failed_by_second.empty() ? 0 : *std::ranges::max_element(c.failed_by_second);
-      auto each = [&](long n) {
-        return double(n) / double(c.orders);
-      };
-      std::printf(
-          "%-9s %-6s %6ld %6ld %6ld %6ld %5ld | %5.2f %5ld %5.2f | %6ld %6ld %6ld %5ld | %7ld %7ld "
-          "| %5ld "
-          "%5.2f "
-          "%6.0f | %5ld %6.0f %6.0f\n",
-          scene.name, variant, c.orders, c.served, c.late, c.refused, c.failed, each(c.attempts),
-          c.copies, each(c.probes), c.calls, c.failed_calls, c.lines, peak, c.messages, c.bytes,
-          c.fallen, c.cold_most, c.cold_used / 1000, c.after_first, c.learned_at(0.5),
-          c.learned_at(0.95));
-    }
+}
+
+void print_row(const char* scenario, const char* variant, const FleetCounts& counts) {
+  const std::vector<long>& failed_polls = counts.failed_polls_by_second;
+  long peak = failed_polls.empty() ? 0 : *std::ranges::max_element(failed_polls);
+  auto per_request = [&](long count) {
+    return static_cast<double>(count) / static_cast<double>(counts.requests);
+  };
+  std::printf("%-9s %-6s %6ld %6ld %6ld %6ld %5ld | ", scenario, variant, counts.requests,
+              counts.served, counts.late, counts.rejected, counts.failed);
+  std::printf("%5.2f %5ld %5.2f | ", per_request(counts.attempts), counts.hedges,
+              per_request(counts.health_checks));
+  std::printf("%6ld %6ld %6ld %5ld | ", counts.polls, counts.failed_polls, counts.listed_endpoints,
+              peak);
+  std::printf("%7ld %7ld | ", counts.messages, counts.message_bytes);
+  std::printf("%5ld %5.2f %6.0f | ", counts.overloaded_workers, counts.slow_start_peak_load,
+              counts.slow_start_work_ms / 1000);
+  std::printf("%5ld %6.0f %6.0f\n", counts.attempts_at_known_bad,
+              counts.learning_time_quantile(0.5), counts.learning_time_quantile(0.95));
+}
+
+}  // namespace
+
+int main(int argc, char** argv) try {
+  std::uint64_t seed = argc > 1 ? std::stoull(argv[1]) : 1;
+  print_header();
+  for (const FleetScenario& scenario : fleet_scenarios()) {
+    FleetSimulation::Options on{.seed = seed};
+    FleetSimulation::Options off{.seed = seed, .gossip = false};
+    FleetSimulation::Options alone{.seed = seed, .assumes_single_dispatcher = true};
+    print_row(scenario.name, "on", run(scenario, on));
+    print_row(scenario.name, "off", run(scenario, off));
+    print_row(scenario.name, "alone", run(scenario, alone));
   }
   return 0;
+} catch (const std::exception& error) {
+  std::fprintf(stderr, "%s\nusage: dispatcher_bench_fleet [SEED]\n", error.what());
+  return 1;
 }
--- a/bench/jam.cpp
+++ b/bench/jam.cpp
@@ -1,34 +1,63 @@
-// How long a fleet takes to come out of a jam: share of the orders in time by the second in which
-// they came, and the time from the end of the fault until that is back at 95% of what it was.
+// How long a fleet takes to recover from a fault: the share of the requests served in time by the
+// second in which they arrived, and the time from the end of the fault until that share is back at
+// 95% of what it was.
 //
 //     dispatcher_bench_jam [SEEDS]
 #include <cstdio>
+#include <exception>
 #include <string>
 
 #include "testbed/simulation/fleet_scenarios.h"
 
 using namespace dispatcher::testbed;
 
-int main(int argc, char** argv) {
+namespace {
+
+void print_summary(const JamScenario& scenario, int seed, const FleetCounts& counts) {
+  auto per_request = [&](long count) {
+    return static_cast<double>(count) / static_cast<double>(counts.requests);
+  };
+  std::printf("%-7s seed %d: settles %4.0f s  ", scenario.name, seed,
+              counts.recovery_seconds(kJamStartSeconds, scenario.fault_end_s));
+  std::printf("in time %.2f before, %.2f in the fault, %.2f after; ",
+              counts.in_time_share(1, kJamStartSeconds - 1),
+              counts.in_time_share(kJamStartSeconds, scenario.fault_end_s),
+              counts.in_time_share(scenario.fault_end_s, kJamSeconds - 5));
+  std::printf("all: late %.2f refused %.2f failed %.2f attempts %.2f copies %.2f probes %.2f |",
+              per_request(counts.late), per_request(counts.rejected), per_request(counts.failed),
+              per_request(counts.attempts), per_request(counts.hedges),
+              per_request(counts.health_checks));
+}
+
+void print_locations(const FleetSimulation::RequestLocations& locations) {
+  std::printf(" held %zu, at workers %zu (late %zu), running %zu (late %zu) |", locations.pending,
+              locations.queued, locations.queued_late, locations.running, locations.running_late);
+}
+
+void print_seconds(const FleetCounts& counts) {
+  static constexpr std::size_t kFirstSecond = 4;
+  for (std::size_t i = kFirstSecond; i < counts.arrived_by_second.size(); ++i) {
+    auto second = static_cast<double>(i);
+    std::printf(" %.2f", counts.in_time_share(second, second + 1));
+  }
+  std::printf("\n");
+}
+
+}  // namespace
+
+int main(int argc, char** argv) try {
   int seeds = argc > 1 ? std::stoi(argv[1]) : 1;
-  for (const JamScenario& scene : jam_scenarios()) {
+  for (const JamScenario& scenario : jam_scenarios()) {
     for (int seed = 1; seed <= seeds; ++seed) {
-      FleetSimulation::Where then;
-      FleetCounts c = play(scene, static_cast<std::uint64_t>(seed), 300, &then);
-      double all = double(c.orders);
-      std::printf(
-          "%-7s seed %d: settles %4.0f s  in time %.2f before, %.2f in the fault, %.2f after; all: "
-          "late %.2f "
-          "refused %.2f failed %.2f attempts %.2f copies %.2f probes %.2f |",
-          scene.name, seed, c.settles(kJamFrom, scene.over), c.share(1, kJamFrom - 1),
-          c.share(kJamFrom, scene.over), c.share(scene.over, kJamSeconds - 5), c.late / all,
-          c.refused / all, c.failed / all, c.attempts / all, c.copies / all, c.probes / all);
-      std::printf(" held %zu, at workers %zu (late %zu), running %zu (late %zu) |", then.held,
-                  then.queued, then.queued_late, then.running, then.running_late);
-      for (std::size_t i = 4; i < c.came.size(); ++i)
-        std::printf(" %.2f", c.share(double(i), double(i) + 1));
-      std::printf("\n");
+      FleetSimulation::RequestLocations at_fault_end;
+      FleetCounts counts = run(scenario, static_cast<std::uint64_t>(seed), 300, &at_fault_end);
+      print_summary(scenario, seed, counts);
+      print_locations(at_fault_end);
+      print_seconds(counts);
     }
   }
   return 0;
+} catch (const std::exception& error) {
+  std::fprintf(stderr, "%s\nusage: dispatcher_bench_jam [SEEDS]\n", error.what());
+  return 1;
 }
--- a/bench/view.cpp
+++ b/bench/view.cpp
@@ -1,115 +1,163 @@
-// How soon all members of a fleet hold one view again, and what the view costs each, in virtual
-// time.
+// How soon all members of a fleet hold one membership view again, and what the view costs each, in
+// virtual time.
 //
 //     dispatcher_bench_view [MEMBERS...]     16 100 300 1000
-//     dispatcher_bench_view --hour           an hour at a fifth of all messages lost, a tenth of a
-//     hundred members stopped
-//                                          for a second each minute: how often somebody is held
-//                                          suspect or dead
+//     dispatcher_bench_view --hour           an hour with a fifth of all messages lost and a tenth
+//                                            of a hundred members stopped for a second each minute:
+//                                            how often a member is held suspect or dead
+#include <algorithm>
+#include <array>
 #include <chrono>
 #include <cstdio>
+#include <exception>
 #include <string>
+#include <vector>
 
+#include "bench/statistics.h"
 #include "testbed/simulation/membership_simulation.h"
 
 using namespace dispatcher::testbed;
+using dispatcher::bench::median;
 
 namespace {
 
-double median(std::vector<double> v) {
-  std::ranges::sort(v);
-  return v[v.size() / 2];
+constexpr std::uint64_t kSeeds = 5;
+constexpr double kMaximumAgreementMs = 300'000;
+constexpr double kDetectionStepMs = 50;
+constexpr double kMsPerSecond = 1000;
+
+void run_lossy_hour(bool local_health, std::uint64_t seed) {
+  static constexpr int kMembers = 100;
+  MembershipSimulation simulation(0, seed);
+  simulation.options = [local_health](MembershipView::Options& options) {
+    options.local_health = local_health;
+  };
+  simulation.begin(kMembers);
+  simulation.until_agreed(kMaximumAgreementMs);
+  simulation.loss(0.2);
+  simulation.suspected = 0;
+  simulation.died = 0;
+  for (int minute = 0; minute < 60; ++minute) {
+    for (int i = 0; i < kMembers / 10; ++i)
+      simulation.stop((minute * 7 + i) % kMembers, true);
+    simulation.pass(1000);
+    for (int i = 0; i < kMembers; ++i)
+      simulation.stop(i, false);
+    simulation.pass(59'000);
+  }
+  std::printf(
+      "local health %s, seed %d: held suspect %ld times, dead %ld times (by any of %d, of any)\n",
+      local_health ? "on" : "off", static_cast<int>(seed), simulation.suspected, simulation.died,
+      kMembers);
+  std::fflush(stdout);
 }
 
-void hour() {
-  constexpr int kMembers = 100;
-  for (bool health : {true, false}) {
-    for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-      MembershipSimulation w(0, seed);
-      w.options = [health](MembershipView::Options& o) {
-        o.local_health = health;
-      };
-      w.begin(kMembers);
-      w.until_agreed(300'000);
-      w.loss(0.2);
-      w.suspected = w.died = 0;
-      for (int minute = 0; minute < 60; ++minute) {
-        for (int i = 0; i < kMembers / 10; ++i)
-          w.stop((minute * 7 + i) % kMembers, true);
-        w.pass(1000);
-        for (int i = 0; i < kMembers; ++i)
-          w.stop(i, false);
-        w.pass(59'000);
-      }
-      std::printf(
-          "local health %s, seed %d: held suspect %ld times, dead %ld times (by any of %d, of "
-          "any)\n",
-          health ? "on" : "off", static_cast<int>(seed), w.suspected, w.died, kMembers);
-      std::fflush(stdout);
-    }
+void run_lossy_hours() {
+  for (bool local_health : {true, false}) {
+    for (std::uint64_t seed : {1, 2})
+      run_lossy_hour(local_health, seed);
   }
 }
 
-}  // namespace
+// By seed. Times until all members agree are in seconds, costs for each member and second.
+struct Samples {
+  std::vector<double> start;
+  std::vector<double> one_crash;
+  std::vector<double> many_crashes;
+  std::vector<double> halves;
+  std::vector<double> datagrams;
+  std::vector<double> bytes;
+  std::vector<double> cpu_us;
+};
 
-int main(int argc, char** argv) {
-  if (argc == 2 && std::string(argv[1]) == "--hour")
-    return hour(), 0;
-  std::vector<int> sizes;
-  for (int i = 1; i < argc; ++i)
-    sizes.push_back(std::stoi(argv[i]));
-  if (sizes.empty())
-    sizes = {16, 100, 300, 1000};
+double agreement_s(MembershipSimulation& simulation) {
+  return simulation.until_agreed(kMaximumAgreementMs) / kMsPerSecond;
+}
+
+void measure_at_rest(MembershipSimulation& simulation, int members, Samples& samples) {
+  static constexpr double kSeconds = 20;
+  long sent_before = simulation.sent;
+  long bytes_before = simulation.bytes;
+  auto start = std::chrono::steady_clock::now();
+  simulation.pass(kSeconds * kMsPerSecond);
+  std::chrono::duration<double, std::micro> took = std::chrono::steady_clock::now() - start;
+  samples.cpu_us.push_back(took.count() / kSeconds / members);
+  samples.datagrams.push_back(static_cast<double>(simulation.sent - sent_before) / kSeconds /
+                              members);
+  samples.bytes.push_back(static_cast<double>(simulation.bytes - bytes_before) / kSeconds /
+                          members);
+}
+
+void measure(int members, std::uint64_t seed, Samples& samples) {
+  MembershipSimulation simulation(members, seed);
+  samples.start.push_back(agreement_s(simulation));
+  simulation.pass(60'000);
+  measure_at_rest(simulation, members, samples);
+  simulation.crash(0);
+  simulation.pass(kDetectionStepMs);
+  samples.one_crash.push_back(agreement_s(simulation));
+  simulation.cut = [members](int from, int to) {
+    return (from < members / 2) != (to < members / 2);
+  };
+  simulation.pass(10'000);
+  simulation.cut = [](int, int) {
+    return false;
+  };
+  samples.halves.push_back(agreement_s(simulation));
+  for (int i = 1; i <= members * 7 / 10; ++i)
+    simulation.crash(i);
+  simulation.pass(kDetectionStepMs);
+  samples.many_crashes.push_back(agreement_s(simulation));
+}
+
+std::string median_and_maximum(const std::vector<double>& samples) {
+  std::array<char, 40> text{};
+  std::snprintf(text.data(), text.size(), "%.1f (most %.1f)", median(samples),
+                std::ranges::max(samples));
+  return text.data();
+}
+
+void print_header() {
   std::printf("%7s | %21s | %21s | %21s | %21s | %s\n", "members", "start of all, s",
               "one crash, s", "seven in ten die, s", "10 s in halves, s",
               "at rest, each a second: datagrams, bytes, us of CPU");
-  for (int n : sizes) {
-    std::vector<double> start;
-    std::vector<double> crash;
-    std::vector<double> most;
-    std::vector<double> halves;
-    std::vector<double> datagrams;
-    std::vector<double> bytes;
-    std::vector<double> cpu;
-    for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-      constexpr double kLongest = 300'000;
-      MembershipSimulation w(n, seed);
-      start.push_back(w.until_agreed(kLongest) / 1000);
-      w.pass(60'000);
-      long sent = w.sent;
-      long size = w.bytes;
-      auto clock = std::chrono::steady_clock::now();
-      w.pass(20'000);
-      cpu.push_back(
-          std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - clock)
-              .count() /
-          20 / n);
-      datagrams.push_back(double(w.sent - sent) / 20 / n);
-      bytes.push_back(double(w.bytes - size) / 20 / n);
-      w.crash(0);
-      w.pass(50);
-      crash.push_back(w.until_agreed(kLongest) / 1000);
-      w.cut = [n](int a, int b) {
-        return (a < n / 2) != (b < n / 2);
-      };
-      w.pass(10'000);
-      w.cut = [](int, int) {
-        return false;
-      };
-      halves.push_back(w.until_agreed(kLongest) / 1000);
-      for (int i = 1; i <= n * 7 / 10; ++i)
-        w.crash(i);
-      w.pass(50);
-      most.push_back(w.until_agreed(kLongest) / 1000);
-    }
-    auto two = [](const std::vector<double>& v) {
-      char text[40];
-      std::snprintf(text, sizeof text, "%.1f (most %.1f)", median(v), std::ranges::max(v));
-      return std::string(text);
-    };
-    std::printf("%7d | %21s | %21s | %21s | %21s | %.1f, %.0f, %.0f\n", n, two(start).c_str(),
-                two(crash).c_str(), two(most).c_str(), two(halves).c_str(), median(datagrams),
-                median(bytes), median(cpu));
-    std::fflush(stdout);
+}
+
+void print_row(int members, const Samples& samples) {
+  std::printf(
+      "%7d | %21s | %21s | %21s | %21s | %.1f, %.0f, %.0f\n", members,
+      median_and_maximum(samples.start).c_str(), median_and_maximum(samples.one_crash).c_str(),
+      median_and_maximum(samples.many_crashes).c_str(), median_and_maximum(samples.halves).c_str(),
+      median(samples.datagrams), median(samples.bytes), median(samples.cpu_us));
+  std::fflush(stdout);
+}
+
+void run_sizes(std::vector<int> sizes) {
+  if (sizes.empty())
+    sizes = {16, 100, 300, 1000};
+  print_header();
+  for (int members : sizes) {
+    Samples samples;
+    for (std::uint64_t seed = 1; seed <= kSeeds; ++seed)
+      measure(members, seed, samples);
+    print_row(members, samples);
   }
 }
+
+}  // namespace
+
+int main(int argc, char** argv) try {
+  std::vector<std::string> arguments(argv + 1, argv + argc);
+  if (arguments == std::vector<std::string>{"--hour"}) {
+    run_lossy_hours();
+    return 0;
+  }
+  std::vector<int> sizes;
+  for (const std::string& argument : arguments)
+    sizes.push_back(std::stoi(argument));
+  run_sizes(sizes);
+  return 0;
+} catch (const std::exception& error) {
+  std::fprintf(stderr, "%s\nusage: dispatcher_bench_view [MEMBERS...] | --hour\n", error.what());
+  return 1;
+}
--- a/testbed/simulation/membership_simulation.h
+++ b/testbed/simulation/membership_simulation.h
@@ -1,9 +1,10 @@
-// Members that keep a view of their fleet, in virtual time, with loss, cuts, crashes and stops
-// between them. The same seed gives the same course.
+// Members that keep a membership view of their fleet, in virtual time, with lost messages, cut
+// paths, crashes and stops between them. The same seed gives the same course.
 #pragma once
 
 #include <algorithm>
 #include <cmath>
+#include <cstdint>
 #include <functional>
 #include <memory>
 #include <queue>
@@ -11,6 +12,7 @@
 #include <set>
 #include <string>
 #include <tuple>
+#include <utility>
 #include <vector>
 
 #include "fleet/membership_view.h"
@@ -23,146 +25,208 @@
 using fleet::State;
 using fleet::Time;
 
-inline Endpoint at(int i) {
-  return {0x7f000001U + static_cast<std::uint32_t>(i), 7000};
+// The endpoint of the member with this number.
+inline Endpoint at(int number) {
+  static constexpr std::uint32_t kFirstAddress = 0x7f000001U;
+  static constexpr std::uint16_t kPort = 7000;
+  return {kFirstAddress + static_cast<std::uint32_t>(number), kPort};
 }
 
+// Not thread-safe. Members are numbered from 0; times are in ms of virtual time.
 class MembershipSimulation {
  public:
-  MembershipSimulation(int n, std::uint64_t seed, double loss = 0) : loss_(loss), random_(seed) {
-    begin(n);
+  // `loss`: share of the messages.
+  MembershipSimulation(int members, std::uint64_t seed, double loss = 0)
+      : loss_(loss), random_(seed) {
+    begin(members);
   }
-  void begin(int n) {
-    nodes_.resize(static_cast<std::size_t>(n));
-    for (int i = 0; i < n; ++i)
+
+  // Starts that many members.
+  void begin(int members) {
+    nodes_.resize(static_cast<std::size_t>(members));
+    for (int i = 0; i < members; ++i)
       start(i);
   }
-  void start(int i) {  // again, after a crash: without what it knew
-    Node& node = nodes_[static_cast<std::size_t>(i)];
-    MembershipView::Options o;
-    o.self = at(i);
-    o.incarnation = static_cast<std::uint32_t>(now_.time_since_epoch().count() / 1000) + 1;
-    o.seed = random_();
-    for (std::size_t k = 0; k < nodes_.size(); ++k)
-      o.others.push_back(at(static_cast<int>(k)));
-    if (options)
-      options(o);
-    node.up = true;
-    node.lowest = 0;
-    node.view = std::make_unique<MembershipView>(
-        o, now_, [this, i](const Endpoint& to, const std::string& bytes) { send(i, to, bytes); },
-        [this](const Endpoint&, State state, std::uint32_t, bool other) {
-          suspected += other && state == State::Suspect, died += other && state == State::Dead;
-        });
-  }
-  std::function<void(MembershipView::Options&)> options;  // of those that start from now on
-  void crash(int i) { nodes_[static_cast<std::size_t>(i)].up = false; }
-  void stop(int i, bool stopped) { nodes_[static_cast<std::size_t>(i)].stopped = stopped; }
+  // Starts a member, after a crash too: without what it knew.
+  void start(int number);
+  void crash(int number) { node(number).up = false; }
+  // A stopped member receives and does nothing.
+  void stop(int number, bool stopped) { node(number).stopped = stopped; }
   void loss(double share) { loss_ = share; }
+
+  // Lets time pass.
+  void pass(double ms);
+  // Whether all members that are up hold the same view, in which just these are alive.
+  bool agreed() const;
+  // Lets time pass until all agree; returns how long that took, `maximum_ms` where they do not.
+  double until_agreed(double maximum_ms);
+
+  MembershipView& view(int number) { return *node(number).view; }
+  Time now() const { return now_; }
+
+  // Changes the options of members that start from now on.
+  std::function<void(MembershipView::Options&)> options;
+  // Whether the path between two members is cut.
   std::function<bool(int from, int to)> cut = [](int, int) {
     return false;
   };
-
-  void pass(double ms) {
-    for (Time until = now_ + Duration(ms); now_ < until;) {
-      now_ += Duration(50);
-      for (; !mail_.empty() && mail_.top().at <= now_; mail_.pop())
-        deliver(mail_.top());
-      for (auto& n : nodes_) {
-        {
-          if (n.up && !n.stopped)
-            n.view->tick(now_);
-        }
-      }
-      for (auto& n : nodes_) {
-        fell |= n.view->incarnation() < n.lowest;
-        n.lowest = n.view->incarnation();
-      }
-    }
-  }
-  bool agreed() const {  // all that are up hold the same, and hold just those alive that are
-    std::set<std::uint64_t> digests;
-    std::size_t up = 0;
-    for (auto& n : nodes_)
-      up += n.up;
-    for (auto& n : nodes_) {
-      if (!n.up)
-        continue;
-      digests.insert(n.view->digest());
-      if (n.view->count(State::Alive) + 1 != up || n.view->count(State::Suspect) > 0)
-        return false;
-    }
-    return digests.size() == 1;
-  }
-  double until_agreed(double most_ms) {  // how long; most_ms: not by then
-    Time from = now_;
-    while (!agreed() && now_ - from < Duration(most_ms))
-      pass(50);
-    return (now_ - from).count();
-  }
-  MembershipView& view(int i) { return *nodes_[static_cast<std::size_t>(i)].view; }
-  Time now() const { return now_; }
-  // What is made of a datagram on its way; an empty one is lost. For variants that are broken on
-  // purpose.
+  // Changes a datagram on its way; an empty one is lost. For variants that are broken on purpose.
   std::function<std::string(int from, int to, const std::string&)> tamper;
+
+  // Counts since the beginning.
   long sent = 0;
   long bytes = 0;
-  long longest = 0;
-  long refused = 0;
-  long suspected = 0;
-  long died = 0;      // times that somebody came to hold another so
-  bool fell = false;  // somebody's incarnation has
+  long longest = 0;    // bytes of a datagram
+  long refused = 0;    // datagrams that a view did not accept
+  long suspected = 0;  // times that a member came to hold another suspect
+  long died = 0;       // times that a member came to hold another dead
+  bool fell = false;   // a member's incarnation decreased
 
  private:
   struct Node {
     std::unique_ptr<MembershipView> view;
-    std::uint32_t lowest = 0;
+    std::uint32_t last_incarnation = 0;
     bool up = true;
     bool stopped = false;
   };
-  struct Mail {
+  struct Datagram {
     Time at;
     long order;
     int from;
     int to;
     std::string bytes;
-    bool operator<(const Mail& o) const { return std::tie(at, order) > std::tie(o.at, o.order); }
+    // The queue's top is the earliest one.
+    bool operator<(const Datagram& other) const {
+      return std::tie(at, order) > std::tie(other.at, other.order);
+    }
   };
-  void send(int from, const Endpoint& to, const std::string& text) {
-    ++sent;
-    bytes += static_cast<long>(text.size());
-    longest = std::max(longest, static_cast<long>(text.size()));
-    int index = static_cast<int>(to.address - at(0).address);
-    if (index < 0 || index >= static_cast<int>(nodes_.size()) || cut(from, index))
-      return;
-    if (std::uniform_real_distribution<double>()(random_) < loss_)
-      return;
-    std::string carried = tamper ? tamper(from, index, text) : text;
-    if (carried.empty())
-      return;
-    double late = std::uniform_real_distribution<double>(1, 40)(random_);
-    mail_.push({now_ + Duration(late), ++order_, from, index, std::move(carried)});
-  }
-  void deliver(const Mail& m) {
-    Node& n = nodes_[static_cast<std::size_t>(m.to)];
-    if (!n.up)
-      return;
-    if (n.stopped)
-      return;  // its socket's buffer is not kept here: the harder case
-    refused += !n.view->take(now_, at(m.from), m.bytes);
-  }
+
+  Node& node(int number) { return nodes_[static_cast<std::size_t>(number)]; }
+  MembershipView::Options make_options(int number);
+  void count_change(State state, bool other);
+  void send(int from, const Endpoint& to, const std::string& text);
+  void deliver(const Datagram& datagram);
+  void check_incarnations();
+
   double loss_;
   std::mt19937_64 random_;
   std::vector<Node> nodes_;
-  std::priority_queue<Mail> mail_;
+  std::priority_queue<Datagram> in_flight_;
   Time now_{Duration(5'000'000)};
-  long order_ = 0;
+  long last_order_ = 0;
 };
 
-// Within this all must agree again: a suspicion and the way of the news, both of which grow as log
-// N.
-inline double bound_ms(int n) {
-  return 1000 * (6 + 4 * std::log2(n + 1));
+inline MembershipView::Options MembershipSimulation::make_options(int number) {
+  static constexpr int kMsPerSecond = 1000;
+  MembershipView::Options made;
+  made.self = at(number);
+  made.incarnation = static_cast<std::uint32_t>(now_.time_since_epoch().count() / kMsPerSecond) + 1;
+  made.seed = random_();
+  for (std::size_t i = 0; i < nodes_.size(); ++i)
+    made.others.push_back(at(static_cast<int>(i)));
+  if (options)
+    options(made);
+  return made;
+}
+
+inline void MembershipSimulation::start(int number) {
+  Node& started = node(number);
+  MembershipView::Options made = make_options(number);
+  started.up = true;
+  started.last_incarnation = 0;
+  started.view = std::make_unique<MembershipView>(
+      made, now_,
+      [this, number](const Endpoint& to, const std::string& text) { send(number, to, text); },
+      [this](const Endpoint&, State state, std::uint32_t, bool other) {
+        count_change(state, other);
+      });
+}
+
+inline void MembershipSimulation::count_change(State state, bool other) {
+  if (!other)
+    return;
+  if (state == State::Suspect)
+    ++suspected;
+  if (state == State::Dead)
+    ++died;
+}
+
+inline void MembershipSimulation::pass(double ms) {
+  static constexpr Duration kStep{50};
+  Time until = now_ + Duration(ms);
+  while (now_ < until) {
+    now_ += kStep;
+    while (!in_flight_.empty() && in_flight_.top().at <= now_) {
+      Datagram next = in_flight_.top();  // a copy: its receiver may send, which changes the queue
+      in_flight_.pop();
+      deliver(next);
+    }
+    for (Node& member : nodes_) {
+      if (member.up && !member.stopped)
+        member.view->tick(now_);
+    }
+    check_incarnations();
+  }
+}
+
+inline void MembershipSimulation::check_incarnations() {
+  for (Node& member : nodes_) {
+    std::uint32_t incarnation = member.view->incarnation();
+    fell |= incarnation < member.last_incarnation;
+    member.last_incarnation = incarnation;
+  }
+}
+
+inline bool MembershipSimulation::agreed() const {
+  auto up = static_cast<std::size_t>(std::ranges::count_if(nodes_, &Node::up));
+  std::set<std::uint64_t> digests;
+  for (const Node& member : nodes_) {
+    if (!member.up)
+      continue;
+    digests.insert(member.view->digest());
+    if (member.view->count(State::Alive) + 1 != up || member.view->count(State::Suspect) > 0)
+      return false;
+  }
+  return digests.size() == 1;
+}
+
+inline double MembershipSimulation::until_agreed(double maximum_ms) {
+  static constexpr double kStepMs = 50;
+  Time from = now_;
+  while (!agreed() && now_ - from < Duration(maximum_ms))
+    pass(kStepMs);
+  return (now_ - from).count();
+}
+
+inline void MembershipSimulation::send(int from, const Endpoint& to, const std::string& text) {
+  ++sent;
+  bytes += static_cast<long>(text.size());
+  longest = std::max(longest, static_cast<long>(text.size()));
+  int receiver = static_cast<int>(to.address - at(0).address);
+  if (receiver < 0 || receiver >= static_cast<int>(nodes_.size()) || cut(from, receiver))
+    return;
+  if (std::uniform_real_distribution<double>()(random_) < loss_)
+    return;
+  std::string carried = tamper ? tamper(from, receiver, text) : text;
+  if (carried.empty())
+    return;
+  double delay_ms = std::uniform_real_distribution<double>(1, 40)(random_);
+  in_flight_.push({now_ + Duration(delay_ms), ++last_order_, from, receiver, std::move(carried)});
+}
+
+// Datagrams to a stopped member are lost, which is harder than a socket's buffer would be.
+inline void MembershipSimulation::deliver(const Datagram& datagram) {
+  Node& receiver = node(datagram.to);
+  if (!receiver.up || receiver.stopped)
+    return;
+  if (!receiver.view->take(now_, at(datagram.from), datagram.bytes))
+    ++refused;
+}
+
+// The time within which all members must agree again: that of a suspicion and of its gossip, which
+// both grow with the logarithm of the number of members.
+inline double bound_ms(int members) {
+  return 1000 * (6 + 4 * std::log2(members + 1));
 }
 
 }  // namespace dispatcher::testbed
--- a/tests/testbed/fleet_simulation_test.cpp
+++ b/tests/testbed/fleet_simulation_test.cpp
@@ -1,6 +1,6 @@
-// The scenes of testbed/fleet_scenarios.h, a hundred dispatchers before sixty workers, with bounds
-// on what the fleet costs and how soon it learns. Each bound but those named fails on the variant
-// in which every dispatcher thinks it is alone.
+// The scenarios of testbed/simulation/fleet_scenarios.h, a hundred dispatchers before sixty
+// workers, with bounds on what the fleet costs and how soon it learns. Each bound but those named
+// fails on the variant in which every dispatcher is configured as the only one.
 #include <gtest/gtest.h>
 
 #include "testbed/simulation/fleet_scenarios.h"
@@ -8,171 +8,198 @@
 namespace dispatcher::testbed {
 namespace {
 
-FleetCounts scene(const std::string& name, bool news = true, bool thinks_alone = false) {
-  for (const FleetScenario& s : fleet_scenarios()) {
-    if (s.name == name) {
-      FleetSimulation::Options o;
-      o.news = news;
-      o.thinks_alone = thinks_alone;
-      return play(s, o);
-    }
+const FleetScenario& find_scenario(const std::string& name) {
+  for (const FleetScenario& scenario : fleet_scenarios()) {
+    if (scenario.name == name)
+      return scenario;
   }
   throw std::invalid_argument(name);
 }
 
-double each(long n, const FleetCounts& c) {
-  return double(n) / double(c.orders);
+FleetCounts run_scenario(const std::string& name, FleetSimulation::Options options = {}) {
+  return run(find_scenario(name), options);
+}
+
+double per_request(long count, const FleetCounts& counts) {
+  return static_cast<double>(count) / static_cast<double>(counts.requests);
+}
+
+TEST(FleetSimulation, TheSameSeedGivesTheSameCounts) {
+  FleetCounts first = run_scenario("uneven");
+  FleetCounts second = run_scenario("uneven");
+  EXPECT_EQ(first.served, second.served);
+  EXPECT_EQ(first.attempts, second.attempts);
+  EXPECT_EQ(first.messages, second.messages);
+}
+
+TEST(FleetSimulation, EveryRequestIsAnsweredOnceOrStillOpen) {
+  for (const FleetScenario& scenario : fleet_scenarios()) {
+    FleetSimulation::Options options;
+    scenario.adjust_options(options);
+    FleetSimulation simulation(options);
+    scenario.schedule_faults(simulation);
+    simulation.run_until(scenario.seconds);
+    const FleetCounts& counts = simulation.counts();
+    EXPECT_EQ(counts.requests, counts.served + counts.rejected + counts.failed + counts.lost +
+                                   static_cast<long>(simulation.open_requests()))
+        << scenario.name;
+  }
+}
+
+struct CostBounds {
+  const char* scenario;
+  // For each request.
+  double failed;
+  double late_or_rejected;
+  double attempts;
+  double health_checks;
+  // In all.
+  double attempts_at_known_bad;
+};
+
+constexpr long kMaximumFailedPolls = 30;  // of a discovery that all dispatchers poll at once
+constexpr double kMaximumSlowStartLoad = 0.6;
+
+void check_costs(const CostBounds& bounds) {
+  FleetCounts counts = run_scenario(bounds.scenario);
+  EXPECT_LE(per_request(counts.failed, counts), bounds.failed) << bounds.scenario;
+  EXPECT_LE(per_request(counts.late + counts.rejected, counts), bounds.late_or_rejected)
+      << bounds.scenario;
+  EXPECT_LE(per_request(counts.attempts, counts), bounds.attempts) << bounds.scenario;
+  // Without gossip, 2 and more.
+  EXPECT_LE(per_request(counts.health_checks, counts), bounds.health_checks) << bounds.scenario;
+  EXPECT_LE(counts.attempts_at_known_bad, bounds.attempts_at_known_bad) << bounds.scenario;
+  EXPECT_LE(counts.failed_polls, kMaximumFailedPolls) << bounds.scenario;
+  EXPECT_EQ(counts.overloaded_workers, 0) << bounds.scenario;
+  EXPECT_LE(counts.slow_start_peak_load, kMaximumSlowStartLoad) << bounds.scenario;
 }
 
-TEST(World, TheSameSeedGivesTheSameCounts) {
-  FleetCounts a = scene("uneven");
-  FleetCounts b = scene("uneven");
-  EXPECT_EQ(a.served, b.served);
-  EXPECT_EQ(a.attempts, b.attempts);
-  EXPECT_EQ(a.messages, b.messages);
+// A bad variant must exceed the bounds; returns its load of workers in their slow start.
+double check_single_dispatchers_exceed(const CostBounds& bounds) {
+  FleetCounts counts = run_scenario(bounds.scenario, {.assumes_single_dispatcher = true});
+  EXPECT_GT(counts.failed_polls, kMaximumFailedPolls) << bounds.scenario;
+  EXPECT_GT(per_request(counts.late + counts.rejected, counts), bounds.late_or_rejected)
+      << bounds.scenario;
+  return counts.slow_start_peak_load;
 }
 
-TEST(World, EveryOrderIsAnsweredOnceOrStillOpen) {
-  for (const FleetScenario& s : fleet_scenarios()) {
-    FleetSimulation::Options o;
-    s.options(o);
-    FleetSimulation w(o);
-    s.troubles(w);
-    w.run_until(s.seconds);
-    const FleetCounts& c = w.counts();
-    EXPECT_EQ(c.orders, c.served + c.refused + c.failed + c.lost + static_cast<long>(w.open()))
-        << s.name;
+TEST(FleetSimulation, CostsStayBounded) {
+  double slow_start_peak_load = 0;
+  for (const CostBounds& bounds : {CostBounds{"calm", 0.001, 0.01, 1.02, 1.0, 0},
+                                   CostBounds{"herd", 0.01, 0.01, 1.05, 1.1, 100},
+                                   CostBounds{"vanish", 0.01, 0.01, 1.05, 1.2, 40},
+                                   CostBounds{"replace", 0.015, 0.01, 1.05, 1.1, 80},
+                                   CostBounds{"uneven", 0.015, 0.02, 1.05, 1.0, 150},
+                                   CostBounds{"lossy", 0.001, 0.01, 1.02, 1.2, 0}}) {
+    check_costs(bounds);
+    slow_start_peak_load = std::max(slow_start_peak_load, check_single_dispatchers_exceed(bounds));
   }
+  EXPECT_GT(slow_start_peak_load, kMaximumSlowStartLoad);
 }
 
-// What a scene may cost, and that the variant which thinks it is alone costs more.
-TEST(World, WhatAFleetCostsStaysBounded) {
-  struct Row {
-    const char* name;
-    double failed;
-    double late_or_refused;
-    double attempts;
-    double probes;
-    double after_first;  // the first four for each order
-  };
-  double cold_alone = 0;
-  for (Row row :
-       {Row{"calm", 0.001, 0.01, 1.02, 1.0, 0}, Row{"herd", 0.01, 0.01, 1.05, 1.1, 100},
-        Row{"vanish", 0.01, 0.01, 1.05, 1.2, 40}, Row{"replace", 0.015, 0.01, 1.05, 1.1, 80},
-        Row{"uneven", 0.015, 0.02, 1.05, 1.0, 150}, Row{"lossy", 0.001, 0.01, 1.02, 1.2, 0}}) {
-    FleetCounts c = scene(row.name);
-    EXPECT_LE(each(c.failed, c), row.failed) << row.name;
-    EXPECT_LE(each(c.late + c.refused, c), row.late_or_refused) << row.name;
-    EXPECT_LE(each(c.attempts, c), row.attempts) << row.name;
-    EXPECT_LE(each(c.probes, c), row.probes) << row.name;  // 2 and more without news
-    EXPECT_LE(c.after_first, row.after_first) << row.name;
-    EXPECT_LE(c.failed_calls, 30) << row.name;  // of a discovery that all call at once
-    EXPECT_EQ(c.fallen, 0) << row.name;         // nor does it push a worker over
-    EXPECT_LE(c.cold_most, 0.6) << row.name;
-    FleetCounts alone = scene(row.name, true, true);
-    EXPECT_GT(alone.failed_calls, 30) << row.name;
-    EXPECT_GT(each(alone.late + alone.refused, alone), row.late_or_refused) << row.name;
-    cold_alone = std::max(cold_alone, alone.cold_most);
+struct SlowStartRun {
+  int dispatchers = 0;
+  int workers = 0;
+  bool restart = false;
+  bool assumes_single_dispatcher = false;
+};
+
+// Two thirds of the workers are replaced by new ones. With `restart`, all dispatchers start again
+// while those are in their slow start: none of them knows what was sent there before.
+FleetCounts run_slow_start(const SlowStartRun& setup) {
+  FleetSimulation simulation({.dispatchers = setup.dispatchers,
+                              .workers = setup.workers,
+                              .load = setup.dispatchers == 300 ? 0.9 : 1.6,
+                              .assumes_single_dispatcher = setup.assumes_single_dispatcher});
+  for (int i = 0; i < setup.workers * 2 / 3; ++i)
+    simulation.at(1, [&simulation, i] { simulation.replace(i); });
+  for (int i = 0; setup.restart && i < setup.dispatchers; ++i) {
+    simulation.at(4.6 + 0.1 * i / setup.dispatchers, [&simulation, i] { simulation.kill(i, 0.1); });
   }
-  EXPECT_GT(cold_alone, 0.6);
-}
-
-// Two thirds of the workers come back cold, and all dispatchers start again while they are: none of
-// them knows what has been sent there before. All together stay within what their holders may send.
-FleetCounts cold(int dispatchers, int workers, bool restart, bool thinks_alone = false) {
-  FleetSimulation::Options o;
-  o.dispatchers = dispatchers;
-  o.workers = workers;
-  o.thinks_alone = thinks_alone;
-  o.load = dispatchers == 300 ? 0.9 : 1.6;
-  FleetSimulation w(o);
-  for (int i = 0; i < workers * 2 / 3; ++i)
-    w.at(1, [&w, i] { w.replace(i); });
-  for (int i = 0; restart && i < dispatchers; ++i)
-    w.at(4.6 + 0.1 * i / dispatchers, [&w, i] { w.kill(i, 0.1); });
-  w.run_until(restart || thinks_alone ? 8.5 : 6);
-  return w.counts();
-}
-
-void no_cold_worker_falls(int dispatchers, int workers) {
+  simulation.run_until(setup.restart || setup.assumes_single_dispatcher ? 8.5 : 6);
+  return simulation.counts();
+}
+
+constexpr double kSlowStartBudget = 0.75;  // of what the workers endure, for all dispatchers
+
+void check_no_worker_is_overloaded(int dispatchers, int workers) {
   for (bool restart : {false, true}) {
-    FleetCounts c = cold(dispatchers, workers, restart);
-    EXPECT_EQ(c.fallen, 0);
-    EXPECT_LE(c.cold_most, 0.75);
-    EXPECT_GT(c.cold_used, 0);
-    EXPECT_EQ(c.lost > 0, restart);
+    FleetCounts counts =
+        run_slow_start({.dispatchers = dispatchers, .workers = workers, .restart = restart});
+    EXPECT_EQ(counts.overloaded_workers, 0);
+    EXPECT_LE(counts.slow_start_peak_load, kSlowStartBudget);
+    EXPECT_GT(counts.slow_start_work_ms, 0);
+    EXPECT_EQ(counts.lost > 0, restart);
   }
 }
 
-// Three that each think they are alone share too little traffic to pass the bound; rules_test has
-// that case.
-TEST(World, NoColdWorkerFallsThoughThreeDispatchersStartAgain) {
-  no_cold_worker_falls(3, 9);
+// Three that are each configured as the only one share too little traffic to pass the bound;
+// rules_test has that case.
+TEST(FleetSimulation, NoWorkerInSlowStartIsOverloadedWhenThreeDispatchersRestart) {
+  check_no_worker_is_overloaded(3, 9);
 }
-TEST(World, NoColdWorkerFallsThoughThirtyDispatchersStartAgain) {
-  no_cold_worker_falls(30, 24);
-  EXPECT_GT(cold(30, 24, false, true).cold_most, 0.75);
+TEST(FleetSimulation, NoWorkerInSlowStartIsOverloadedWhenThirtyDispatchersRestart) {
+  check_no_worker_is_overloaded(30, 24);
+  FleetCounts counts =
+      run_slow_start({.dispatchers = 30, .workers = 24, .assumes_single_dispatcher = true});
+  EXPECT_GT(counts.slow_start_peak_load, kSlowStartBudget);
 }
-TEST(World, NoColdWorkerFallsThoughThreeHundredDispatchersStartAgain) {
-  no_cold_worker_falls(300, 100);
+TEST(FleetSimulation, NoWorkerInSlowStartIsOverloadedWhenThreeHundredDispatchersRestart) {
+  check_no_worker_is_overloaded(300, 100);
 }
-TEST(World, ColdWorkersBearTooMuchOfThreeHundredThatThinkTheyAreAlone) {
-  EXPECT_GT(cold(300, 100, false, true).cold_most, 0.75);
+TEST(FleetSimulation, ThreeHundredDispatchersConfiguredAsTheOnlyOneExceedTheSlowStartBudget) {
+  FleetCounts counts =
+      run_slow_start({.dispatchers = 300, .workers = 100, .assumes_single_dispatcher = true});
+  EXPECT_GT(counts.slow_start_peak_load, kSlowStartBudget);
 }
 
-// A fault is over within three seconds for who comes then; a burst kept a fleet in late work for
-// longer, as held jobs went to whoever had not been heard of for longest, and late ones took the
-// slots of others' fresh ones.
-TEST(World, AFleetComesOutOfAJam) {
-  for (const JamScenario& s : jam_scenarios()) {
-    FleetCounts c = play(s, 1, 150);
-    EXPECT_GT(c.share(1, kJamFrom - 1), 0.98) << s.name;
-    EXPECT_GE(c.settles(kJamFrom, s.over), 0) << s.name;
-    EXPECT_LT(c.settles(kJamFrom, s.over), 3) << s.name;
-    EXPECT_LT(each(c.attempts, c), 1.1) << s.name;
+TEST(FleetSimulation, RecoversFromAFaultWithinThreeSeconds) {
+  for (const JamScenario& scenario : jam_scenarios()) {
+    FleetCounts counts = run(scenario, 1, 150);
+    EXPECT_GT(counts.in_time_share(1, kJamStartSeconds - 1), 0.98) << scenario.name;
+    EXPECT_GE(counts.recovery_seconds(kJamStartSeconds, scenario.fault_end_s), 0) << scenario.name;
+    EXPECT_LT(counts.recovery_seconds(kJamStartSeconds, scenario.fault_end_s), 3) << scenario.name;
+    EXPECT_LT(per_request(counts.attempts, counts), 1.1) << scenario.name;
   }
 }
 
-// No start notes, cancels, copies or news: what a dispatcher knows of the load comes with the ends
-// of its own jobs. A burst left all of them sure of a full fleet: who begins nothing hears of
-// nothing, and so it stayed.
-TEST(World, AFleetThatHearsOfLoadWithTheEndsAloneComesOutOfABurst) {
+// Load is reported by the ends of a dispatcher's own attempts alone: a dispatcher that starts
+// nothing learns nothing, and must not stay convinced that all workers are full.
+TEST(FleetSimulation, RecoversFromABurstWithMinimalReporting) {
   for (std::uint64_t seed : {1, 2}) {
     for (int dispatchers : {6, 30}) {
-      for (bool probes : {false, true}) {
-        FleetSimulation::Options o;
-        o.dispatchers = dispatchers;
-        o.workers = dispatchers == 6 ? 12 : 30;
-        o.slots = 2;
-        o.load = 0.5;
-        o.seed = seed;
-        o.bare = true;
-        o.probes = probes;
-        FleetSimulation w(o);
-        w.at(5, [&w] { w.load(2.2); });
-        w.at(9, [&w] { w.load(1); });
-        w.run_until(30);
-        EXPECT_GT(w.counts().share(15, 25), 0.95) << dispatchers << probes;  // it was 0.29 to 0.81
-        EXPECT_EQ(w.counts().fallen, 0);
+      for (bool health_checks : {false, true}) {
+        FleetSimulation simulation({.dispatchers = dispatchers,
+                                    .workers = dispatchers == 6 ? 12 : 30,
+                                    .slots = 2,
+                                    .seed = seed,
+                                    .load = 0.5,
+                                    .minimal_reporting = true,
+                                    .health_checks = health_checks});
+        simulation.at(5, [&simulation] { simulation.set_load_factor(2.2); });
+        simulation.at(9, [&simulation] { simulation.set_load_factor(1); });
+        simulation.run_until(30);
+        EXPECT_GT(simulation.counts().in_time_share(15, 25), 0.95) << dispatchers << health_checks;
+        EXPECT_EQ(simulation.counts().overloaded_workers, 0);
       }
     }
   }
 }
 
-TEST(World, WhatOneHasLearnedTheOthersKnowBeforeDiscoveryWould) {
-  FleetCounts c = scene("vanish");
-  ASSERT_FALSE(c.learned.empty());
-  EXPECT_LT(c.learned_at(0.5), 4000);
-  EXPECT_LT(c.learned_at(0.95), 7000);
+TEST(FleetSimulation, DispatchersLearnOfAVanishedWorkerBeforeDiscoveryWouldReportIt) {
+  FleetCounts counts = run_scenario("vanish");
+  ASSERT_FALSE(counts.learning_times_ms.empty());
+  EXPECT_LT(counts.learning_time_quantile(0.5), 4000);
+  EXPECT_LT(counts.learning_time_quantile(0.95), 7000);
 }
 
-TEST(World, NewsSaveProbesAndLosingHalfOfThemDoesLittleHarm) {
-  FleetCounts with = scene("calm");
-  FleetCounts without = scene("calm", false);
-  FleetCounts lossy = scene("lossy");
-  EXPECT_LT(2 * each(with.probes, with), each(without.probes, without));
-  EXPECT_LT(each(lossy.probes, lossy), 1.5 * each(with.probes, with));
-  EXPECT_LE(with.bytes, 255 * with.messages);
+TEST(FleetSimulation, GossipSavesHealthChecksAlsoWhenHalfOfItIsLost) {
+  FleetCounts with = run_scenario("calm");
+  FleetCounts without = run_scenario("calm", {.gossip = false});
+  FleetCounts lossy = run_scenario("lossy");
+  EXPECT_LT(2 * per_request(with.health_checks, with), per_request(without.health_checks, without));
+  EXPECT_LT(per_request(lossy.health_checks, lossy), 1.5 * per_request(with.health_checks, with));
+  EXPECT_LE(with.message_bytes, 255 * with.messages);
 }
 
 }  // namespace
