--- a/bench/operations.cpp
+++ b/bench/operations.cpp
@@ -54,6 +54,7 @@
   RoundCost run() {
     double cpu_before_ms = process().cpu_ms();
     std::vector<double> request_ms;
+    request_ms.reserve(kRequestsPerRound);
     PersistentClient client(process().address());
     for (int i = 0; i < kRequestsPerRound; ++i) {
       ClientRequest request;
@@ -139,6 +140,7 @@
 void measure_beside_silent_callers(RequestRounds& requests, const RoundCost& idle,
                                    Results& results) {
   std::vector<std::unique_ptr<PersistentClient>> silent;
+  silent.reserve(kSilentCallers);
   for (int i = 0; i < kSilentCallers; ++i)
     silent.push_back(std::make_unique<PersistentClient>(requests.admin_address()));
   MetricsCaller caller(requests.admin_address(), kFrequentInterval);
--- a/bench/streaming.cpp
+++ b/bench/streaming.cpp
@@ -280,6 +280,7 @@
   std::vector<double> times_ms;
   std::mutex mutex;
   std::vector<std::thread> threads;
+  threads.reserve(kThreads);
   for (int i = 0; i < kThreads; ++i) {
     threads.emplace_back([&] {
       run_on(1, 1);
--- a/bench/view.cpp
+++ b/bench/view.cpp
@@ -153,6 +153,7 @@
     return 0;
   }
   std::vector<int> sizes;
+  sizes.reserve(arguments.size());
   for (const std::string& argument : arguments)
     sizes.push_back(std::stoi(argument));
   run_sizes(sizes);
--- a/testbed/program/scenario_run.cpp
+++ b/testbed/program/scenario_run.cpp
@@ -207,13 +207,13 @@
   double from_s = now_s();
   std::vector<std::set<int>> parts;  // members that are up, by group
   for (const auto& group : groups_) {
-    std::set<int> up;
+    std::set<int> running;
     for (int number : group) {
       if (fleet_.up().contains(number))
-        up.insert(number);
+        running.insert(number);
     }
-    if (!up.empty())
-      parts.push_back(std::move(up));
+    if (!running.empty())
+      parts.push_back(std::move(running));
   }
   if (parts.empty())
     parts.push_back(fleet_.up());
--- a/testbed/simulation/membership_simulation.h
+++ b/testbed/simulation/membership_simulation.h
@@ -178,13 +178,13 @@
 }
 
 inline bool MembershipSimulation::agreed() const {
-  auto up = static_cast<std::size_t>(std::ranges::count_if(nodes_, &Node::up));
+  auto running = static_cast<std::size_t>(std::ranges::count_if(nodes_, &Node::up));
   std::set<std::uint64_t> digests;
   for (const Node& member : nodes_) {
     if (!member.up)
       continue;
     digests.insert(member.view->digest());
-    if (member.view->count(State::Alive) + 1 != up || member.view->count(State::Suspect) > 0)
+    if (member.view->count(State::Alive) + 1 != running || member.view->count(State::Suspect) > 0)
       return false;
   }
   return digests.size() == 1;
--- a/tests/processes/fleet_process_test.cpp
+++ b/tests/processes/fleet_process_test.cpp
@@ -1,7 +1,8 @@
-// A fleet of the program's own processes, broken from outside: SIGKILL, SIGSTOP, SIGTERM, and
-// relays on every path between them. Orders run throughout, each gets one answer, and the verdict
-// comes with events: a test waits for what must come, however long the machine takes.
+// A fleet of the program's own processes under faults from outside: SIGKILL, SIGSTOP, SIGTERM, and
+// relays on every path between them. Requests run throughout, and each gets one response. A test
+// waits for the events that must happen, however long the machine takes.
 #include <algorithm>
+#include <array>
 #include <catch2/catch.hpp>
 #include <chrono>
 #include <cstdlib>
@@ -13,6 +14,7 @@
 namespace {
 
 constexpr int kMembers = 8;
+constexpr std::uint64_t kSeveralRounds = 4ULL * kMembers;  // datagrams of one member
 
 ProcessFleet::Setup make_setup() {
   return {.program = std::getenv("DISPATCHER"), .config = std::getenv("DISPATCHER_CONFIG")};
@@ -23,15 +25,16 @@
   void check_all_served() {
     RequestAccount requests = account();
     CHECK(requests.served == requests.sent);
-    CHECK(requests.begun_twice == 0);  // the orders are of a class that must not run twice
+    CHECK(requests.begun_twice == 0);  // the requests' class is not idempotent
     CHECK(requests.longest_datagram <= 256);
   }
   // By member, itself among them.
   std::map<std::string, unsigned> incarnations(int i) {
-    Json::Value v = view(i);
-    std::map<std::string, unsigned> out{{v["self"].asString(), v["incarnation"].asUInt()}};
-    for (const Json::Value& m : v["members"])
-      out[m["member"].asString()] = m["incarnation"].asUInt();
+    Json::Value own_view = view(i);
+    std::map<std::string, unsigned> out{
+        {own_view["self"].asString(), own_view["incarnation"].asUInt()}};
+    for (const Json::Value& entry : own_view["members"])
+      out[entry["member"].asString()] = entry["incarnation"].asUInt();
     return out;
   }
   bool any_log_contains(const std::string& text) {
@@ -63,13 +66,13 @@
   auto print = [](const std::string& line_of_shell) {
     FILE* table = popen(line_of_shell.c_str(), "r");
     std::string printed;
-    for (char line[256]; std::fgets(line, sizeof line, table);)
-      printed += line;
+    std::array<char, 256> line{};
+    while (std::fgets(line.data(), line.size(), table) != nullptr)
+      printed += line.data();
     CHECK(pclose(table) == 0);
     return printed;
   };
-  // Between two looks that agree: on a busy machine somebody may be suspected for a moment
-  // meanwhile.
+  // Between two equal digests: on a busy machine a member may be suspected for a moment meanwhile.
   std::string printed;
   std::string digest;
   fleet.wait_until([&] {
@@ -94,15 +97,18 @@
   CHECK(page.figure("dispatcher.fleet.dead") == 0);
   CHECK(page.figure("dispatcher.fleet.changes") >= 4);  // joined, dead, back, left
   CHECK(page.figure("dispatcher.fleet.sent") > 0);
-  // A table that is renewed shows what has happened since, until there is nobody to ask.
+  // A table that is renewed shows later changes, until its dispatcher is gone.
   FILE* table = popen((command + " --watch 0.1 2>/dev/null").c_str(), "r");
   bool killed = false;
   bool seen = false;
-  for (char line[256]; std::fgets(line, sizeof line, table);) {
+  std::array<char, 256> line{};
+  while (std::fgets(line.data(), line.size(), table) != nullptr) {
     if (!std::exchange(killed, true))
       fleet.crash(5);
-    if (!seen && (seen = std::string_view(line).find("  dead ") != std::string_view::npos))
+    if (!seen && std::string_view(line.data()).find("  dead ") != std::string_view::npos) {
+      seen = true;
       fleet.crash(0);
+    }
   }
   CHECK(seen);
   CHECK(pclose(table) == 1 << 8);
@@ -157,8 +163,10 @@
     std::map<int, std::uint64_t> before;
     for (int i : fleet.up())
       before[i] = fleet.view(i)["sent"].asUInt64();
-    for (int i : fleet.up())
-      fleet.wait_until([&] { return fleet.view(i)["sent"].asUInt64() > before[i] + 4 * kMembers; });
+    for (int i : fleet.up()) {
+      fleet.wait_until(
+          [&] { return fleet.view(i)["sent"].asUInt64() > before[i] + kSeveralRounds; });
+    }
     fleet.wait_until_agreed();
   };
   fleet.relays().set_path(2, 3, {.cut = true});
@@ -190,18 +198,19 @@
   });
   REQUIRE(fleet.member(5).start_beside());
   fleet.wait_until_agreed();
-  // What was known went over: of each member the very incarnation of before. On a busy machine
-  // anybody may come to be suspected for a moment, and refutes that with the next one; no other
-  // step up is right.
+  // The membership view was transferred with each member's incarnation. On a busy machine a member
+  // may be suspected for a moment and refutes that with the next incarnation; no other increase is
+  // right.
   auto after = fleet.incarnations(5);
   CHECK(after.size() == before.size());
   for (const auto& [who, incarnation] : after) {
     REQUIRE(before.contains(who));
     INFO(who << " had incarnation " << before[who] << ", has " << incarnation);
     CHECK(incarnation >= before[who]);
-    for (unsigned step = before[who]; step < incarnation; ++step)
-      CHECK(
-          fleet.any_log_contains(who + " is suspect, incarnation " + std::to_string(step) + "\n"));
+    for (unsigned step = before[who]; step < incarnation; ++step) {
+      std::string suspicion = who + " is suspect, incarnation " + std::to_string(step) + "\n";
+      CHECK(fleet.any_log_contains(suspicion));
+    }
   }
   CHECK(fleet.member(5).end_old() == 0);
   fleet.wait_until_agreed();
