--- /dev/null
+++ b/tests/scheduling/hedging_limit_test.cpp
@@ -0,0 +1,65 @@
+// Limits on the number of hedges.
+#include <utility>
+
+#include "tests/scheduling/support.h"
+
+namespace dispatcher::scheduling::testing {
+namespace {
+
+// Hedging every waiting request doubles the load of a full fleet if cancels stop nothing.
+TEST(Hedges, AreAtMostATenthOfTheRecentRequestsAndOne) {
+  Scene scene(settings());
+  auto ids = endpoint_names(30);
+  scene.list(worker_entries(scene, ids));
+  int hedges = 0;
+  for (RequestId id = 1; id <= 40; ++id) {
+    scene.request(id, 100);
+    scene.pass(200);  // no start note comes
+    for (const Action& action : scene.of(ActionKind::Send))
+      hedges += action.id <= id ? 1 : 0;
+  }
+  EXPECT_GE(hedges, 1);
+  EXPECT_LE(hedges, 1 + 40 / 10 + 1);
+}
+
+// A hedge is useful if another worker can start it. If half of the requests wait for their start
+// and no report shows free capacity, the hedge would wait too, or take a slot from a request of
+// another dispatcher, which prolongs an overload. With reports, a hedge helps a request that waits
+// at a stuck worker.
+TEST(Hedges, AreNoneWithoutReportsWhereHalfOfTheRecentRequestsHaveWaited) {
+  for (auto [prompt, reports] :
+       {std::pair(true, LoadReportMode::Off), std::pair(false, LoadReportMode::Off),
+        std::pair(false, LoadReportMode::Inline)}) {
+    Settings set = settings();
+    set.reports = reports;
+    Scene scene(set);
+    auto ids = endpoint_names(30);
+    scene.list(worker_entries(scene, ids));
+    RequestId id = 1;
+    for (; id <= 60; ++id) {
+      scene.request(id, 100);
+      ASSERT_FALSE(scene.sent_to(id).empty());
+      scene.pass(prompt ? 5 : 100);
+      scene.started(id);
+      scene.pass(100);
+      scene.end(id, 0, Outcome::Success, true);
+    }
+    int hedges = 0;
+    for (; id <= 100; ++id) {
+      scene.request(id, 100);
+      scene.pass(200);  // no start note comes
+      for (const Action& action : scene.of(ActionKind::Send))
+        hedges += action.id <= id ? 1 : 0;
+    }
+    if (prompt) {
+      EXPECT_GE(hedges, 4);
+    } else if (reports == LoadReportMode::Off) {
+      EXPECT_LE(hedges, 1);
+    } else {
+      EXPECT_GE(hedges, 3);
+    }
+  }
+}
+
+}  // namespace
+}  // namespace dispatcher::scheduling::testing
--- a/tests/scheduling/support.h
+++ b/tests/scheduling/support.h
@@ -1,5 +1,5 @@
-// What the tests of the dispatcher share: a dispatcher with a clock, and short ways to feed it and
-// read its actions.
+// Fixtures of the scheduling tests: settings, and a scheduler with a manual clock whose events are
+// short calls and whose actions are recorded.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -43,8 +43,8 @@
 
 class Scene {
  public:
-  explicit Scene(const Settings& config, Time begun = Time(Duration(1000000)))
-      : now(begun), scheduler(config, now, actions) {}
+  explicit Scene(const Settings& config, Time start = Time(Duration(1000000)))
+      : now(start), scheduler(config, now, actions) {}
 
   WorkerEntry worker(std::string_view name, int zone = 0, int cell = 0,
                      Readiness readiness = Readiness::Ready) {
@@ -109,15 +109,18 @@
   std::string sent_to(RequestId id) {
     std::string worker;
     for (const Action& action : of(ActionKind::Send)) {
-      if (action.id == id)
-        attempt_worker[{id, attempts[id]++}] = worker = action.worker;
+      if (action.id == id) {
+        worker = action.worker;
+        attempt_worker[{id, attempts[id]++}] = worker;
+      }
     }
     return worker;
   }
   bool answered(RequestId id, ActionKind kind) {
     for (const Action& action : of(kind)) {
-      if (action.id == id)
+      if (action.id == id) {
         return true;
+      }
     }
     return false;
   }
@@ -129,4 +132,26 @@
   Scheduler scheduler;
 };
 
+// `count` distinct worker endpoints, "10.0.0.0:7000" and up.
+inline std::vector<std::string> endpoint_names(int count) {
+  std::vector<std::string> endpoints;
+  endpoints.reserve(static_cast<std::size_t>(count));
+  for (int i = 0; i < count; ++i) {
+    endpoints.push_back("10.0.0." + std::to_string(i) + ":7000");
+  }
+  return endpoints;
+}
+
+// Ready workers, spread over zones 0 to `zones` - 1 in turn.
+inline std::vector<WorkerEntry> worker_entries(Scene& scene,
+                                               const std::vector<std::string>& endpoints,
+                                               int zones = 1) {
+  std::vector<WorkerEntry> entries;
+  entries.reserve(endpoints.size());
+  for (std::size_t i = 0; i < endpoints.size(); ++i) {
+    entries.push_back(scene.worker(endpoints[i], static_cast<int>(i) % zones));
+  }
+  return entries;
+}
+
 }  // namespace dispatcher::scheduling::testing
