--- a/tests/scheduling/cutoff_test.cpp
+++ b/tests/scheduling/cutoff_test.cpp
@@ -1,4 +1,4 @@
-// The cutoff against values computed here by other means: sums over the raw requests instead of a
+// The cutoff between short and long requests, compared with sums over the raw requests instead of a
 // histogram.
 #include <cmath>
 #include <random>
@@ -10,8 +10,8 @@
 
 CostHistogram histogram_of(const std::vector<double>& requests) {
   CostHistogram histogram;
-  for (double x : requests)
-    histogram.add(Time(Duration(5)), x);
+  for (double work_ms : requests)
+    histogram.add(Time(Duration(5)), work_ms);
   return histogram;
 }
 
@@ -20,30 +20,31 @@
 double slowdown(const std::vector<double>& requests, double low, double high, double load,
                 double share) {
   double all = 0;
-  double n = 0;
+  double count = 0;
   double work = 0;
   double square = 0;
   double inverse = 0;
-  for (double x : requests) {
-    all += x;
-    if (x < low || x >= high)
+  for (double work_ms : requests) {
+    all += work_ms;
+    if (work_ms < low || work_ms >= high)
       continue;
-    double service = x / share;
-    n += 1;
-    work += x;
+    double service = work_ms / share;
+    count += 1;
+    work += work_ms;
     square += service * service;
     inverse += 1 / service;
   }
   double rho = load * work / all / share;
-  return rho < 1 ? n * (square / n) / (2 * (1 - rho)) * (inverse / n) : INFINITY;
+  return rho < 1 ? count * (square / count) / (2 * (1 - rho)) * (inverse / count) : INFINITY;
 }
 
-std::vector<double> bounded_pareto(std::size_t n, double alpha, double low, double high) {
-  std::vector<double> requests;  // by quantiles: no chance involved
-  for (std::size_t i = 0; i < n; ++i) {
-    double u = (i + 0.5) / n;
+std::vector<double> bounded_pareto(std::size_t count, double alpha, double low, double high) {
+  std::vector<double> requests;  // by quantiles, not at random
+  requests.reserve(count);
+  for (std::size_t i = 0; i < count; ++i) {
+    double quantile = (i + 0.5) / count;
     double ratio = std::pow(low / high, alpha);
-    requests.push_back(low / std::pow(1 - u * (1 - ratio), 1 / alpha));
+    requests.push_back(low / std::pow(1 - quantile * (1 - ratio), 1 / alpha));
   }
   return requests;
 }
@@ -95,17 +96,17 @@
   double cutoff = histogram_of(requests).rule_of_thumb_cutoff(0.6);
   double below = 0;
   double all = 0;
-  for (double x : requests) {
-    all += x;
-    below += x < cutoff ? x : 0;
+  for (double work_ms : requests) {
+    all += work_ms;
+    below += work_ms < cutoff ? work_ms : 0;
   }
   EXPECT_NEAR(below / all, 0.3, 0.05);
 }
 
 TEST(Cutoff, IgnoresAbsurdHints) {
   CostHistogram histogram;
-  for (double x : {0.0, -5.0, std::nan(""), std::numeric_limits<double>::infinity()})
-    histogram.add(Time(Duration(5)), x);
+  for (double hint_ms : {0.0, -5.0, std::nan(""), std::numeric_limits<double>::infinity()})
+    histogram.add(Time(Duration(5)), hint_ms);
   EXPECT_EQ(histogram.samples(), 0);
 }
 
@@ -142,7 +143,7 @@
   EXPECT_GT(model.expected(10), 100);
   EXPECT_LT(model.expected(1000), 900);
   EXPECT_NEAR(model.expected(10) + model.expected(1000), 1010, 60)
-      << "the load as a whole stays what the hints say";
+      << "the total load stays what the hints say";
   EXPECT_NEAR(model.spread(), 2, 0.2);
 }
 
--- a/tests/scheduling/idempotency_test.cpp
+++ b/tests/scheduling/idempotency_test.cpp
@@ -9,8 +9,8 @@
 
 constexpr double kWindowMs = 5000;
 constexpr double kConnectTimeoutMs = 250;
-constexpr double kFirstLateMs = kWindowMs - 2 * kConnectTimeoutMs -
-                                2;  // a repeat this long after the first send is just too late
+// A retry this long after the first send is just too late.
+constexpr double kFirstLateMs = kWindowMs - 2 * kConnectTimeoutMs - 2;
 
 const std::vector<Outcome> kOutcomesThatProve{Outcome::Rejected, Outcome::ConnectFailed,
                                               Outcome::NotSent};
@@ -20,7 +20,8 @@
 Settings long_deadline(Idempotency idempotency, DeduplicationScope deduplication_scope) {
   Settings set = settings(idempotency, deduplication_scope);
   set.connect_timeout = Duration(kConnectTimeoutMs);
-  set.classes[0].latency_objective = set.classes[0].deadline = Duration(30000);
+  set.classes[0].latency_objective = Duration(30000);
+  set.classes[0].deadline = Duration(30000);
   set.classes[0].deduplication_window = Duration(kWindowMs);
   return set;
 }
@@ -56,12 +57,12 @@
   std::string hedge_worker;
 };
 
-// The reported day: the first attempt waits at a worker that drains and is handed back after a
-// hedge has gone out. The group has known the key since the first send; the hedge must not begin a
-// span of its own.
+// The first attempt waits at a worker that drains and rejects it after a hedge was sent. The
+// deduplication scope has known the key since the first send; the hedge must not begin a window of
+// its own.
 TEST(DeduplicationWindow, AHedgeSharesThatOfAFirstAttemptRejectedLater) {
   for (Outcome proof : kOutcomesThatProve) {
-    for (Outcome doubt : kOutcomesWithoutProof) {
+    for (Outcome ambiguous : kOutcomesWithoutProof) {
       for (double at : {kFirstLateMs - 1, kFirstLateMs, kWindowMs + 10}) {
         TwoAttempts scene(long_deadline(Idempotency::KeyedIdempotent, DeduplicationScope::Zone));
         scene.send_first();
@@ -73,7 +74,7 @@
         scene.until(at);
         scene.list({scene.worker("b", 0, 0, Readiness::Draining), scene.worker("c")},
                    EndpointUpdateKind::Delta);
-        scene.end(1, 1, doubt);
+        scene.end(1, 1, ambiguous);
         EXPECT_EQ(scene.sent_to(1), at < kFirstLateMs ? "c" : "") << at;
         EXPECT_TRUE(scene.of(ActionKind::Reject).empty()) << "the hedge may have run";
       }
@@ -118,22 +119,22 @@
 }
 
 TEST(DeduplicationWindow, ARetryMustArriveWithinItAfterEveryOutcomeThatProvesNothing) {
-  for (Outcome doubt : kOutcomesWithoutProof) {
+  for (Outcome ambiguous : kOutcomesWithoutProof) {
     for (double at : {kFirstLateMs - 1, kFirstLateMs}) {
       TwoAttempts scene(long_deadline(Idempotency::KeyedIdempotent, DeduplicationScope::All));
       scene.send_first();
       scene.started(1);
       scene.until(at);
       scene.list({scene.worker("a", 0, 0, Readiness::Draining), scene.worker("b")});
-      scene.end(1, 0, doubt);
+      scene.end(1, 0, ambiguous);
       EXPECT_EQ(scene.sent_to(1), at < kFirstLateMs ? "b" : "") << at;
     }
   }
 }
 
 TEST(DeduplicationWindow, AHedgeOfAnOpenAttemptMustArriveWithinItToo) {
-  for (double at :
-       {kFirstLateMs - 400, kFirstLateMs}) {  // waiting requests are looked at a few times a second
+  // Waiting requests are examined several times a second, hence the margin.
+  for (double at : {kFirstLateMs - 400, kFirstLateMs}) {
     TwoAttempts scene(long_deadline(Idempotency::KeyedIdempotent, DeduplicationScope::Zone));
     scene.send_first();
     scene.until(at);
@@ -177,8 +178,8 @@
   }
 }
 
-// After a stall of our own the timers come due first and the old ends behind them, all at the
-// present time.
+// After a stall of the dispatcher, overdue timers fire before the delayed attempt ends, all at the
+// current time.
 TEST(DeduplicationWindow, HoldsForOldTimersAndEndsAfterAStallOfTheDispatcher) {
   TwoAttempts scene(long_deadline(Idempotency::KeyedIdempotent, DeduplicationScope::Zone));
   scene.send_first();
@@ -245,15 +246,16 @@
   }
 }
 
-// The first of two ends in doubt; a second end of it that would prove something, or one under the
-// hedge's name, changes nothing: the request may only go within the group, and is not refused.
+// The first of two attempts has an ambiguous end. A later end of it that would prove something, or
+// one reported by the hedge's worker, changes nothing: the request may only be sent again within
+// its deduplication scope, and is not rejected.
 TEST(ProofOfNotRunning, IsNoneAfterAnotherEnd) {
   for (Outcome proof : kOutcomesThatProve) {
-    for (Outcome doubt : kOutcomesWithoutProof) {
+    for (Outcome ambiguous : kOutcomesWithoutProof) {
       TwoAttempts scene(long_deadline(Idempotency::KeyedIdempotent, DeduplicationScope::Cell));
       scene.send_first();
       scene.send_hedge(100);
-      scene.end(1, 0, doubt);
+      scene.end(1, 0, ambiguous);
       scene.end(1, 0, proof);
       scene.end_as(0, "b", proof);
       scene.list({scene.worker("a", 0, 0, Readiness::Removed),
@@ -266,8 +268,8 @@
   }
 }
 
-// Held after the proof, since its only worker is full or down, the request is neither sent again
-// nor refused.
+// Pending after the proof, since its only worker is full or down, the request is neither sent again
+// nor rejected.
 TEST(ProofOfNotRunning, IsRevokedByALaterSignThatItRan) {
   for (Outcome proof : {Outcome::Rejected, Outcome::ConnectFailed}) {
     for (int sign : {0, 1, 2}) {
@@ -275,13 +277,16 @@
       scene.send_first();
       scene.end(1, 0, proof);
       ASSERT_TRUE(scene.silent());
-      if (sign == 0)
+      if (sign == 0) {
         scene.end(1, 0, Outcome::ConnectionReset);
-      if (sign == 1)
+      }
+      if (sign == 1) {
         scene.started(1);
-      if (sign == 2)
+      }
+      if (sign == 2) {
         scene.scheduler.on_job_event(scene.now, 1, 0, "nobody", JobEventKind::Progress,
                                      scene.actions);
+      }
       std::vector<Action> seen = scene.actions;
       scene.pass(30000);
       seen.insert(seen.end(), scene.actions.begin(), scene.actions.end());
--- a/tests/scheduling/large_fleet_test.cpp
+++ b/tests/scheduling/large_fleet_test.cpp
@@ -1,4 +1,5 @@
-// Many dispatchers in front of a fleet that each of them hardly sees.
+// Large fleets: sampling, checks before dispatch, slow start budgets and gossip, where each of many
+// dispatchers sends a small part of the requests.
 #include <cmath>
 #include <deque>
 #include <memory>
@@ -17,43 +18,53 @@
   return config;
 }
 
-std::string name(int i) {
-  return "w" + std::to_string(i);
+std::string name(int index) {
+  return "w" + std::to_string(index);
 }
 
-std::vector<WorkerEntry> fleet(Scene& scene, const std::vector<std::string>& names,
+// The names of workers 0 to `count` - 1.
+std::vector<std::string> fleet_names(int count) {
+  std::vector<std::string> workers;
+  workers.reserve(static_cast<std::size_t>(count));
+  for (int i = 0; i < count; ++i) {
+    workers.push_back(name(i));
+  }
+  return workers;
+}
+
+// Ready workers; the first `fast` have twice the size of the others.
+std::vector<WorkerEntry> fleet(Scene& scene, const std::vector<std::string>& workers,
                                std::size_t fast) {
   std::vector<WorkerEntry> list;
-  for (std::size_t i = 0; i < names.size(); ++i) {
-    list.push_back(scene.worker(names[i]));
+  list.reserve(workers.size());
+  for (std::size_t i = 0; i < workers.size(); ++i) {
+    list.push_back(scene.worker(workers[i]));
     list.back().size = i < fast ? 2 : 1;
   }
   return list;
 }
 
 TEST(Sampling, EqualRequestsSpreadInProportionToCapacity) {  // incident i58b7cc
-  std::vector<std::string> names;
-  for (int i = 0; i < 100; ++i)
-    names.push_back(name(i));
+  std::vector<std::string> workers = fleet_names(100);
   std::map<std::string, int> requests;
   const int dispatchers = 2000;
   for (int index = 0; index < dispatchers; ++index) {
     Scene scene(one_of(dispatchers, index));
-    scene.list(fleet(scene, names, 50));
+    scene.list(fleet(scene, workers, 50));
     scene.request(1, 100);
     ++requests[scene.sent_to(1)];
   }
   int fast = 0;
-  int most = 0;
-  for (const auto& [worker, n] : requests) {
+  int maximum = 0;
+  for (const auto& [worker, count] : requests) {
     ASSERT_FALSE(worker.empty());
-    most = std::max(most, n);
+    maximum = std::max(maximum, count);
     if (std::stoi(worker.substr(1)) < 50)
-      fast += n;
+      fast += count;
   }
   EXPECT_GT(fast, dispatchers * 0.55);  // two thirds of the capacity
   EXPECT_LT(fast, dispatchers * 0.95);
-  EXPECT_LT(most, dispatchers / 100 * 6);
+  EXPECT_LT(maximum, dispatchers / 100 * 6);
 }
 
 TEST(Sampling, ASmallFleetIsNotSampled) {
@@ -66,8 +77,8 @@
     ++requests[scene.sent_to(id)];
   }
   EXPECT_EQ(requests.count(""), 0U);
-  for (const auto& [worker, n] : requests)
-    EXPECT_LE(n, 2) << worker;
+  for (const auto& [worker, count] : requests)
+    EXPECT_LE(count, 2) << worker;
 }
 
 struct PreDispatchCheckRule : ::testing::Test {
@@ -76,9 +87,8 @@
     set.health_checks_allowed = true;
     set.reports = LoadReportMode::OnProbe;
     scene = std::make_unique<Scene>(set);
-    for (int i = 0; i < 40; ++i)
-      names.push_back(name(i));
-    scene->list(fleet(*scene, names, 0));
+    workers = fleet_names(40);
+    scene->list(fleet(*scene, workers, 0));
   }
   std::vector<std::string> checked_workers() {
     std::vector<std::string> found;
@@ -95,7 +105,7 @@
                                             scene->actions);
   }
   std::unique_ptr<Scene> scene;
-  std::vector<std::string> names;
+  std::vector<std::string> workers;
 };
 
 TEST_F(PreDispatchCheckRule, ARequestChecksSomeWorkersAndGoesWhereASlotIsFree) {
@@ -113,10 +123,10 @@
 TEST_F(PreDispatchCheckRule, FreeSlotsOfAWorkerThatIsAlwaysBusyAreNotBelieved) {
   scene->request(1, 100);
   std::vector<std::string> first = checked_workers();
-  for (const std::string& w : first)
-    answer(w, 2, 1);
+  for (const std::string& worker : first)
+    answer(worker, 2, 1);
   EXPECT_TRUE(scene->sent_to(1).empty());
-  EXPECT_FALSE(checked_workers().empty());  // others are asked
+  EXPECT_FALSE(checked_workers().empty());  // other workers are checked
 }
 
 TEST_F(PreDispatchCheckRule, MissingAnswersDelayNothing) {
@@ -135,14 +145,14 @@
   set.classes[0].idempotency = Idempotency::Idempotent;
   for (Outcome outcome : {Outcome::ConnectFailed, Outcome::TimedOut, Outcome::Rejected}) {
     scene = std::make_unique<Scene>(set);
-    scene->list(fleet(*scene, names, 0));
-    scene->pass(2000);  // nothing heard of any worker lately
+    scene->list(fleet(*scene, workers, 0));
+    scene->pass(2000);  // no recent report of any worker
     scene->request(1, 100);
     std::string first = checked_workers().at(0);
     scene->actions.clear();
     scene->scheduler.on_health_check_result(scene->now, first, outcome, {}, scene->actions);
-    bool lives = outcome == Outcome::Rejected;  // only too many probes at once
-    EXPECT_EQ(scene->sent_to(1), lives ? first : "");
+    bool alive = outcome == Outcome::Rejected;  // only too many health checks at once
+    EXPECT_EQ(scene->sent_to(1), alive ? first : "");
   }
 }
 
@@ -154,7 +164,7 @@
     set.dispatchers = drawn ? 500 : 1;
     set.index = 0;
     Scene scene(set);
-    scene.list(fleet(scene, names, 0));
+    scene.list(fleet(scene, workers, 0));
     scene.request(1, 100);
     int sends = 1;
     ASSERT_FALSE(scene.sent_to(1).empty());
@@ -164,16 +174,15 @@
         continue;
       ++sends;
       if (sends == 2)
-        scene.end(1, 0, Outcome::Cancelled);  // what it waits for does not come
+        scene.end(1, 0, Outcome::Cancelled);  // the attempt it waits for ends
     }
     EXPECT_EQ(sends > 2, !drawn);
   }
 }
 
 TEST_F(PreDispatchCheckRule, TheNumberOfChecksDoesNotGrowWithTheFleet) {
-  for (int i = 40; i < 400; ++i)
-    names.push_back(name(i));
-  scene->list(fleet(*scene, names, 0));
+  workers = fleet_names(400);
+  scene->list(fleet(*scene, workers, 0));
   for (RequestId id = 1; id <= 20; ++id) {
     scene->request(id, 100);
     EXPECT_LE(checked_workers().size(), 2U);
@@ -182,8 +191,8 @@
 
 TEST(SlowStartBudget, IsUsedByItsHoldersAndNeverExceeded) {  // incidents ief4a90, i16956d
   const int dispatchers = 300;
-  std::map<int, double>
-      in_window;  // of a starting worker's overload window, all dispatchers together
+  // Work sent to a starting worker by all dispatchers together, by overload window.
+  std::map<int, double> in_window;
   int users = 0;
   for (int index = 0; index < dispatchers; ++index) {
     Scene scene(one_of(dispatchers, index));
@@ -192,14 +201,14 @@
     scene.list({starting});
     bool used = false;
     RequestId id = 0;
-    for (int step = 0; step < 90; ++step) {  // of 100 ms; the ramp takes 10 scene
+    for (int step = 0; step < 90; ++step) {  // of 100 ms; slow start takes 10 s
       scene.request(++id, 100);
       bool sent = !scene.sent_to(id).empty();
       used |= sent;
-      if (sent)
+      if (sent) {
         in_window[step / 10] += 100;
-      if (sent)
         scene.end(id, 0, Outcome::Success, true);
+      }
       scene.actions.clear();
       scene.scheduler.on_client_disconnected(scene.now, id, scene.actions);
       scene.now += Duration(100);
@@ -214,7 +223,7 @@
     EXPECT_LE(work, 3 * 2 * warm * 1000) << span;
     all += work / (3 * 2 * warm * 1000) / 9;
   }
-  EXPECT_GT(all, 0.2);  // a fair part is used
+  EXPECT_GT(all, 0.2);  // a substantial part is used
 }
 
 // Thirty of sixty workers have just been replaced, a hundred dispatchers have two requests a second
@@ -228,10 +237,8 @@
     set.reports = LoadReportMode::Inline;
     set.overload_window = Duration(2000);
     Scene scene(set);
-    std::vector<std::string> names;
-    for (int i = 0; i < 60; ++i)
-      names.push_back(name(i));
-    auto list = fleet(scene, names, 0);
+    std::vector<std::string> workers = fleet_names(60);
+    auto list = fleet(scene, workers, 0);
     for (int i = 0; i < 30; ++i)
       list[i].online_since = scene.now;
     scene.list(list);
@@ -262,18 +269,16 @@
     }
   }
   double capacity = 30 * 2 * 2000 * 0.25;  // work in two seconds
-  EXPECT_GT(sent, 0.5 * capacity);         // it was nothing while they waited to be drawn
+  EXPECT_GT(sent, 0.5 * capacity);
   EXPECT_LT(sent, 2 * capacity);
 }
 
-// A dispatcher of a hundred that receives gossip about the workers w0 to w9 what the others have
-// there.
+// One of a hundred dispatchers, which receives gossip about the load of the others at the workers
+// w0 to w9.
 struct NearScene : Scene {
   explicit NearScene(int index = 7) : Scene(near_settings(index)) {
-    std::vector<std::string> names;
-    for (int i = 0; i < 40; ++i)
-      names.push_back(name(i));
-    list(fleet(*this, names, 0));
+    std::vector<std::string> workers = fleet_names(40);
+    list(fleet(*this, workers, 0));
     for (int i = 0; i < 10; ++i)
       say(i, 0);
   }
@@ -303,7 +308,7 @@
   for (int i = 0; i < 10; ++i)
     scene.say(i, i != 2);
   EXPECT_EQ(scene.first(1), "w2");
-  LoadReport full;  // it is old by a second: what the others tell goes before it
+  LoadReport full;  // one second old: gossip takes precedence
   full.free_slots = 0;
   scene.actions.clear();
   scene.scheduler.on_health_check_result(scene.now, "w2", Outcome::Success, full, scene.actions);
@@ -344,7 +349,7 @@
   scene.request(1, 100, 10000);
   ASSERT_EQ(scene.sent_to(1), "a");
   scene.end(1, 0, Outcome::Success, true);
-  scene.request(2, 100, 300);  // of the usual timeout nearly all has passed
+  scene.request(2, 100, 300);  // nearly all of the usual timeout has passed
   EXPECT_EQ(scene.sent_to(2), "a");
 }
 
--- a/tests/scheduling/retry_budget_test.cpp
+++ b/tests/scheduling/retry_budget_test.cpp
@@ -1,4 +1,4 @@
-// The retry budget: attempts beyond a request's first, counted over every sliding window.
+// The retry budget: attempts beyond the first of a request, counted in a sliding window.
 #include <cmath>
 
 #include "scheduling/retry_budget.h"
@@ -16,13 +16,6 @@
   return config;
 }
 
-std::vector<WorkerEntry> many(Scene& scene, const std::vector<std::string>& names) {
-  std::vector<WorkerEntry> entries;
-  for (const std::string& name : names)
-    entries.push_back(scene.worker(name));
-  return entries;
-}
-
 // Sends `id`, ends each of its attempts by `outcome`, and counts the attempts beyond the first.
 int count_retries(Scene& scene, RequestId id, Outcome outcome) {
   scene.request(id, 10);
@@ -32,13 +25,13 @@
   return retries;
 }
 
-const std::vector<std::string> kNames{"a", "b", "c", "d", "e", "f", "g", "h",
-                                      "i", "j", "k", "l", "m", "n", "o", "p"};
+const std::vector<std::string> kEndpoints{"a", "b", "c", "d", "e", "f", "g", "h",
+                                          "i", "j", "k", "l", "m", "n", "o", "p"};
 
 TEST(RetryBudgetRule, StartsWithTheFreeAttemptsAndItsRatioAlone) {
   for (Outcome outcome : {Outcome::Rejected, Outcome::ConnectFailed}) {
     Scene scene(budget(2, 0.5, 1000));
-    scene.list(many(scene, kNames));
+    scene.list(worker_entries(scene, kEndpoints));
     EXPECT_EQ(count_retries(scene, 1, outcome), 2);  // 2 + 0.5 x 1, rounded down
     EXPECT_EQ(count_retries(scene, 2, outcome), 1);  // 2 + 0.5 x 2
   }
@@ -46,19 +39,19 @@
 
 TEST(RetryBudgetRule, HasNoLimitWithoutTheSetting) {
   Scene scene(settings());
-  scene.list(many(scene, kNames));
+  scene.list(worker_entries(scene, kEndpoints));
   EXPECT_EQ(count_retries(scene, 1, Outcome::Rejected), 3);  // max_attempts alone
 }
 
 TEST(RetryBudgetRule, DoesNotCountAttemptsThatWereNotSent) {
   Scene scene(budget(1, 0, 1000));
-  scene.list(many(scene, kNames));
+  scene.list(worker_entries(scene, kEndpoints));
   EXPECT_GT(count_retries(scene, 1, Outcome::NotSent), 1);
 }
 
 TEST(RetryBudgetRule, CountsRejectedRequestsAsReceived) {
   Scene scene(budget(0, 0.25, 1000));
-  scene.list(many(scene, kNames));
+  scene.list(worker_entries(scene, kEndpoints));
   for (RequestId id = 10; id < 17; ++id) {
     scene.request(id, 10, 0);  // no time left: answered at once
     EXPECT_TRUE(scene.answered(id, ActionKind::Reject));
@@ -68,7 +61,7 @@
 
 TEST(RetryBudgetRule, ForgetsRequestsThatLeaveTheWindow) {
   Scene scene(budget(0, 0.25, 1000));
-  scene.list(many(scene, kNames));
+  scene.list(worker_entries(scene, kEndpoints));
   for (RequestId id = 10; id < 20; ++id)
     scene.request(id, 10, 0);
   scene.pass(1001);
@@ -77,7 +70,7 @@
 
 TEST(RetryBudgetRule, CountsAttemptsUntilTheyLeaveTheWindow) {
   Scene scene(budget(1, 0, 1000));
-  scene.list(many(scene, kNames));
+  scene.list(worker_entries(scene, kEndpoints));
   EXPECT_EQ(count_retries(scene, 1, Outcome::Rejected), 1);
   scene.pass(999);
   EXPECT_EQ(count_retries(scene, 2, Outcome::Rejected), 0);
--- /dev/null
+++ b/tests/scheduling/slow_start_load_test.cpp
@@ -0,0 +1,182 @@
+// The load that the scheduler puts on workers in their slow start.
+#include <algorithm>
+#include <cmath>
+#include <memory>
+#include <utility>
+#include <vector>
+
+#include "tests/scheduling/support.h"
+
+namespace dispatcher::scheduling::testing {
+namespace {
+
+// The highest load of a starting worker in any window of one second.
+struct PeakLoad {
+  double of_budget = 0;  // as a fraction of the budget that the settings allow
+  // As a fraction of N + 2 sqrt(N) + 2 requests, where the budget allows N.
+  double of_restart_limit = 0;
+};
+
+// The load that `dispatchers` dispatchers send together to one starting worker while all have more
+// work than they may send. Each is restarted every `restart_every` ms without knowledge of what it
+// sent before.
+PeakLoad peak_load(int dispatchers, double cost_hint, double restart_every = 1e9) {
+  std::vector<std::pair<double, double>> sent;
+  const Time begin{Duration(1000000)};
+  for (int index = 0; index < dispatchers; ++index) {
+    Settings set = settings(Idempotency::NonIdempotent);
+    set.dispatchers = dispatchers;
+    set.index = index;
+    set.classes[0].latency_objective = Duration(1e6);
+    set.classes[0].deadline = Duration(1e6);
+    std::unique_ptr<Scene> scene;
+    auto note_sent = [&] {
+      for (const Action& action : scene->of(ActionKind::Send)) {
+        sent.emplace_back((scene->now - begin).count(), cost_hint);
+        std::vector<Action> ignored;
+        scene->scheduler.on_attempt_end(scene->now, {action.id, 0, true, "a", Outcome::Success, {}},
+                                        ignored);
+      }
+    };
+    RequestId id = 0;
+    Time begun{};
+    for (int step = 0; step < 200; ++step) {
+      if (!scene || scene->now - begun >= Duration(restart_every)) {
+        begun = scene ? scene->now : begin;
+        scene = std::make_unique<Scene>(set, begun);
+        WorkerEntry starting = scene->worker("a");
+        starting.online_since = begin;
+        scene->list({starting});
+      }
+      scene->request(++id, cost_hint, 1e6);
+      note_sent();
+      scene->pass(50);
+      note_sent();
+    }
+  }
+  PeakLoad worst;
+  for (auto [start, unused] : sent) {
+    if (start >= 10000)
+      continue;  // warm by then
+    double total = 0;
+    for (auto [at, work] : sent)
+      total += at >= start && at < std::min(start + 1000, 10000.0) ? work : 0;
+    double warm = 0.25 + 0.75 * std::min(1.0, start / 10000);
+    double budget = 3 * 2 * warm * 1000;  // two slots at speed 1, as guessed before any report
+    double allowed = budget / cost_hint;
+    worst.of_budget = std::max(worst.of_budget, total / budget);
+    worst.of_restart_limit = std::max(worst.of_restart_limit,
+                                      total / cost_hint / (allowed + 2 * std::sqrt(allowed) + 2));
+  }
+  return worst;
+}
+
+TEST(SlowStartBudget, AllDispatchersTogetherStayWithinIt) {
+  for (int dispatchers : {1, 2, 3, 7, 14}) {
+    double used = peak_load(dispatchers, 40).of_budget;
+    EXPECT_LE(used, 1.0) << dispatchers;
+    EXPECT_GT(used, 0.1) << dispatchers << ": a starting worker must get something";
+  }
+}
+
+TEST(SlowStartBudget, ANewProcessLeavesAShareForItsPredecessorsSends) {
+  for (int dispatchers : {1, 2, 3, 7, 14}) {
+    for (double every : {1300, 1700, 2900}) {
+      PeakLoad used = peak_load(dispatchers, 40, every);
+      EXPECT_LE(used.of_restart_limit, 1.0) << dispatchers << " started again every " << every;
+      EXPECT_LE(used.of_budget, 1.1)
+          << dispatchers << " started again every " << every;  // it grows in a span
+      EXPECT_GT(used.of_budget, 0.1) << dispatchers << ": a starting worker must get something";
+    }
+  }
+}
+
+TEST(SlowStartBudget, OneHeavyRequestDoesNotUseItUp) {
+  EXPECT_LE(peak_load(2, 900).of_budget, 1.0);
+}
+
+// The cost hint of a request may be wrong by a factor.
+TEST(SlowStartBudget, ALoneDispatcherUsesNoThirdOfItOnOneRequest) {
+  EXPECT_LE(peak_load(1, 40).of_budget, 0.6);
+  Settings set = settings(Idempotency::NonIdempotent);
+  Scene scene(set);
+  WorkerEntry starting = scene.worker("a");
+  starting.online_since = scene.now;
+  scene.list({starting});
+  // The budget is 3 x 0.25 x two slots x 1 s = 1500 ms, of which half may be used; the request
+  // counts 1.5 times its hint.
+  scene.request(1, 510);
+  EXPECT_TRUE(scene.sent_to(1).empty());
+  scene.request(2, 100);
+  EXPECT_EQ(scene.sent_to(2), "a");
+}
+
+// Hints far below the mean cost of their class must not overload a starting worker: a hint counts
+// at the mean of its class or more.
+TEST(SlowStartBudget, ManyShortHintsCountAsTheMeanOfTheirClass) {
+  Settings set = settings(Idempotency::NonIdempotent);
+  set.classes[0].latency_objective = Duration(1e6);
+  set.classes[0].deadline = Duration(1e6);
+  Scene scene(set);
+  WorkerEntry starting = scene.worker("a");
+  starting.online_since = scene.now;
+  scene.list({});
+  for (RequestId id = 1; id <= 40; ++id)
+    scene.request(id, 200, 1000);  // pending, they teach the mean cost of the class
+  scene.pass(1000);
+  starting.online_since = scene.now;
+  scene.list({starting});
+  int sent = 0;
+  for (RequestId id = 100; id < 140; ++id) {
+    scene.request(id, 2, 1e6);
+    if (scene.sent_to(id).empty())
+      continue;
+    scene.started(id);
+    scene.end(id, 0, Outcome::Success, true);
+    ++sent;
+  }
+  EXPECT_GT(sent, 0);
+  // Each counts at the mean of its class, which the short ones lower; half of 1500 ms may be used.
+  EXPECT_LE(sent, 20);
+}
+
+TEST(SlowStart, RestartUnderTheSameIdWarmsUpAgain) {
+  Settings set = settings(Idempotency::NonIdempotent);
+  set.dispatchers = 4;
+  set.index = 3;
+  Scene scene(set);
+  scene.list({scene.worker("a")});
+  scene.request(1, 400);
+  EXPECT_EQ(scene.sent_to(1), "a");
+  scene.end(1, 0, Outcome::Success, true);
+  WorkerEntry again = scene.worker("a");
+  again.online_since = scene.now;
+  scene.list({again}, EndpointUpdateKind::Delta);
+  scene.request(2, 400);
+  EXPECT_TRUE(scene.sent_to(2).empty());
+  scene.pass(10001);
+  scene.request(3, 400);
+  EXPECT_EQ(scene.sent_to(3), "a");
+}
+
+TEST(SlowStart, RecoveredWorkerWarmsUpUntilShownOtherwise) {
+  Settings set = settings(Idempotency::NonIdempotent);
+  set.health_checks_allowed = true;
+  set.dispatchers = 4;
+  Scene scene(set);
+  scene.list({scene.worker("a")});
+  scene.request(1, 10);
+  ASSERT_EQ(scene.sent_to(1), "a");
+  scene.end(1, 0, Outcome::ConnectionReset);
+  scene.scheduler.on_health_check_result(scene.now, "a", Outcome::ConnectFailed, {}, scene.actions);
+  scene.actions.clear();
+  scene.pass(1100);
+  ASSERT_EQ(scene.of(ActionKind::HealthCheck).size(), 1U);
+  scene.actions.clear();
+  scene.scheduler.on_health_check_result(scene.now, "a", Outcome::Success, {}, scene.actions);
+  scene.request(2, 900);
+  EXPECT_TRUE(scene.sent_to(2).empty());
+}
+
+}  // namespace
+}  // namespace dispatcher::scheduling::testing
--- a/tests/scheduling/worker_selection_test.cpp
+++ b/tests/scheduling/worker_selection_test.cpp
@@ -1,4 +1,5 @@
 // Short and long pools, the selection of a worker inside a pool, and zones.
+#include <array>
 #include <map>
 #include <string>
 #include <vector>
@@ -12,7 +13,7 @@
   Scene scene(settings());
   auto ids = endpoint_names(16);
   scene.list(worker_entries(scene, ids, 2));
-  int shorts[2] = {};
+  std::array<int, 2> shorts{};
   for (std::size_t i = 0; i < ids.size(); ++i)
     shorts[i % 2] += scene.scheduler.in_short_pool(ids[i]);
   EXPECT_EQ(shorts[0], 4);
@@ -25,6 +26,7 @@
     auto ids = endpoint_names(12);
     scene.list(worker_entries(scene, ids));
     std::vector<bool> before;
+    before.reserve(ids.size());
     for (auto& id : ids)
       before.push_back(scene.scheduler.in_short_pool(id));
     scene.list({scene.worker(ids[gone], 0, 0, Readiness::Removed), scene.worker("10.9.9.9:7000")},
--- a/tests/simulator_adapter/wire_test.cpp
+++ b/tests/simulator_adapter/wire_test.cpp
@@ -1,4 +1,4 @@
-// The wire by small hand-written frames.
+// The line protocol of the simulator adapter, exercised by short literal frames.
 #include <gtest/gtest.h>
 
 #include <sstream>
@@ -19,7 +19,7 @@
 const std::string kList =
     "MANIFEST 3 1\nROW 10.1.1.1:7001 0 0 0 Ready 1.5 -\nBACKENDS_CHANGED Persisted 1 3\n";
 
-// Feeds whole lines and returns the last reply.
+// Feeds complete lines and returns the last reply.
 std::string feed(Host& host, const std::string& text) {
   std::istringstream in(text);
   std::string reply;
@@ -84,15 +84,15 @@
 }
 
 TEST(Wire, TheRetryBudgetIsReadWhereGiven) {
-  scheduling::Settings s;
+  scheduling::Settings settings;
   scheduling::Settings none;
   read_settings(
       "Invariants.BudgetFree=2.0 Invariants.ExtraPerRequest=0.25 Invariants.ExtraWindowMs=4000.0",
-      s);
-  EXPECT_EQ(s.retry_budget_free, 2);
-  EXPECT_EQ(s.retry_budget_ratio, 0.25);
-  ASSERT_TRUE(s.retry_budget_window);
-  EXPECT_EQ(s.retry_budget_window->count(), 4000);
+      settings);
+  EXPECT_EQ(settings.retry_budget_free, 2);
+  EXPECT_EQ(settings.retry_budget_ratio, 0.25);
+  ASSERT_TRUE(settings.retry_budget_window);
+  EXPECT_EQ(settings.retry_budget_window->count(), 4000);
   read_settings("TickMs=2", none);
   EXPECT_FALSE(none.retry_budget_free || none.retry_budget_ratio || none.retry_budget_window);
 }
@@ -106,8 +106,9 @@
       "EOR 2\n");
 }
 
-// Guards against dispatchers of a small fleet that all see the same old report: each tells what it
-// sends and ends, and a worker full of another's jobs is not taken for a free one.
+// Guards against dispatchers of a small fleet that all act on the same outdated report: each sends
+// gossip on the attempts that it starts and ends, and a worker that is full of the jobs of another
+// dispatcher is not treated as free.
 TEST(Wire, WhatOneSendsTheOthersCountAsWork) {
   auto launch = [](int index) {
     return "TARGET_INSTANCE scheduler/" + std::to_string(index) +
@@ -132,25 +133,27 @@
   std::string whisper = "TARGET_INSTANCE scheduler/1\nWHISPER 0 ";
   std::string at_other;
   for (std::string jobs : {"10", "13"}) {  // none there; more than its slots
-    Host hears;
-    feed(hears, "CLOCK 1000 1\n" + launch(1) + "GO\n");
-    std::string next =
-        feed(hears, "CLOCK 1010 2\n" + whisper + jobs + entry + "\n" + request(1, "bb") + "GO\n");
+    Host receiver;
+    feed(receiver, "CLOCK 1000 1\n" + launch(1) + "GO\n");
+    std::string frame = "CLOCK 1010 2\n";
+    frame.append(whisper).append(jobs).append(entry).append("\n");
+    frame.append(request(1, "bb")).append("GO\n");
+    std::string next = feed(receiver, frame);
     EXPECT_NE(next.find("RELAY 00000000000000bb " + (jobs == "10" ? first : other)),
               std::string::npos)
         << next;
     at_other = next.substr(next.find("BROADCAST_TO 0 11") + 17, 4);
   }
-  // What is not told again counts for ten seconds: a dispatcher that was killed says no more.
-  Host hears;
-  feed(hears, "CLOCK 1000 1\n" + launch(1) + whisper + "13" + entry + "\nGO\n");
-  feed(hears, "CLOCK 11005 2\n" + whisper + "11" + at_other + "\nWAKEUP 1\nGO\n");
-  std::string next = feed(hears, "CLOCK 11010 3\n" + request(1, "bb") + "GO\n");
+  // Gossip that is not repeated expires after ten seconds, as a killed dispatcher sends no more.
+  Host receiver;
+  feed(receiver, "CLOCK 1000 1\n" + launch(1) + whisper + "13" + entry + "\nGO\n");
+  feed(receiver, "CLOCK 11005 2\n" + whisper + "11" + at_other + "\nWAKEUP 1\nGO\n");
+  std::string next = feed(receiver, "CLOCK 11010 3\n" + request(1, "bb") + "GO\n");
   EXPECT_NE(next.find("RELAY 00000000000000bb " + first), std::string::npos) << next;
   reply = feed(host, "CLOCK 1030 3\nTARGET_INSTANCE scheduler/0\nRESPONSE 00000000000000aa 0 - 1 " +
                          first + " success 19 -\nGO\n");
   EXPECT_EQ(reply.find("BROADCAST_TO"), std::string::npos)
-      << reply;  // one that fell waits for the next
+      << reply;  // a decrease is sent with the next gossip
   reply = feed(host, "CLOCK 1340 4\nTARGET_INSTANCE scheduler/0\nWAKEUP 1\nGO\n");
   EXPECT_NE(reply.find("BROADCAST_TO 1 10" + entry), std::string::npos) << reply;
   for (const char* bad : {"WHISPER 0 1", "WHISPER 0 zz", "WHISPER x 10"}) {
@@ -161,7 +164,7 @@
 }
 
 TEST(Wire, SettingsAreReadAndUnknownOnesPassedOver) {
-  scheduling::Settings s;
+  scheduling::Settings settings;
   Columns columns = read_settings(
       "Balancers=4 Index=2 Lanes.count=2 Lanes.0.Effect=keyed Lanes.0.Group=zone "
       "Lanes.0.MemorySpanMs=7000 "
@@ -169,17 +172,17 @@
       "Report.How=on_probe "
       "Extra.ReportX0=mood Extra.ReportX1=free_memory WorthBy=work Later.Thing=1 "
       "Permissions.MaxRetryAfterMs=50",
-      s);
-  ASSERT_EQ(s.classes.size(), 2U);
-  EXPECT_EQ(s.index, 2);
-  EXPECT_EQ(s.classes[0].idempotency, scheduling::Idempotency::KeyedIdempotent);
-  EXPECT_EQ(s.classes[0].deduplication_scope, scheduling::DeduplicationScope::Zone);
-  EXPECT_EQ(s.classes[0].deduplication_window.count(), 7000);
-  EXPECT_EQ(s.classes[0].objective_work_factor, 1.5);
-  EXPECT_EQ(s.classes[1].objective_work_factor, 3);
-  EXPECT_EQ(s.classes[1].kind, 2);
-  EXPECT_EQ(s.reports, scheduling::LoadReportMode::OnProbe);
-  EXPECT_EQ(s.max_retry_after.count(), 0)
+      settings);
+  ASSERT_EQ(settings.classes.size(), 2U);
+  EXPECT_EQ(settings.index, 2);
+  EXPECT_EQ(settings.classes[0].idempotency, scheduling::Idempotency::KeyedIdempotent);
+  EXPECT_EQ(settings.classes[0].deduplication_scope, scheduling::DeduplicationScope::Zone);
+  EXPECT_EQ(settings.classes[0].deduplication_window.count(), 7000);
+  EXPECT_EQ(settings.classes[0].objective_work_factor, 1.5);
+  EXPECT_EQ(settings.classes[1].objective_work_factor, 3);
+  EXPECT_EQ(settings.classes[1].kind, 2);
+  EXPECT_EQ(settings.reports, scheduling::LoadReportMode::OnProbe);
+  EXPECT_EQ(settings.max_retry_after.count(), 0)
       << "clients are not handed an advice where that is not permitted";
   EXPECT_FALSE(columns.x0_is_free_slots);
   EXPECT_TRUE(columns.x1_is_free_memory);
--- a/tests/testbed/cpu_starvation_test.cpp
+++ b/tests/testbed/cpu_starvation_test.cpp
@@ -1,4 +1,4 @@
-// When the testbed may repeat a run.
+// When the testbed may repeat a run: only if the machine starved it of processor time.
 #include "testbed/stubs/cpu_starvation.h"
 
 #include <catch2/catch.hpp>
@@ -6,8 +6,8 @@
 
 using namespace dispatcher;
 
-// The testbed's verdicts stand on the clock: only a starved machine may have a broken run played
-// again, and not for ever.
+// The verdicts of the testbed depend on the clock: a broken run is repeated only if the machine was
+// starved, and for a limited number of times.
 TEST_CASE(
     "testbed: a broken run counts, unless orders were late on a machine that had no time for "
     "them") {
