--- a/tests/scheduling/cost_hints_test.cpp
+++ b/tests/scheduling/cost_hints_test.cpp
@@ -66,7 +66,7 @@
   Settings set = settings();
   set.dispatchers = 100;
   Scene scene(set);
-  auto ids = endpoint_names(40);
+  auto ids = make_endpoints(40);
   scene.list(worker_entries(scene, ids));
   int in_short = 0;
   for (RequestId id = 1; id <= 60; ++id) {
--- a/tests/scheduling/hedging_limit_test.cpp
+++ b/tests/scheduling/hedging_limit_test.cpp
@@ -9,7 +9,7 @@
 // Hedging every waiting request doubles the load of a full fleet if cancels stop nothing.
 TEST(Hedges, AreAtMostATenthOfTheRecentRequestsAndOne) {
   Scene scene(settings());
-  auto ids = endpoint_names(30);
+  auto ids = make_endpoints(30);
   scene.list(worker_entries(scene, ids));
   int hedges = 0;
   for (RequestId id = 1; id <= 40; ++id) {
@@ -33,7 +33,7 @@
     Settings set = settings();
     set.reports = reports;
     Scene scene(set);
-    auto ids = endpoint_names(30);
+    auto ids = make_endpoints(30);
     scene.list(worker_entries(scene, ids));
     RequestId id = 1;
     for (; id <= 60; ++id) {
--- a/tests/scheduling/large_fleet_test.cpp
+++ b/tests/scheduling/large_fleet_test.cpp
@@ -22,8 +22,8 @@
   return "w" + std::to_string(index);
 }
 
-// The names of workers 0 to `count` - 1.
-std::vector<std::string> fleet_names(int count) {
+// The identifiers of workers 0 to `count` - 1.
+std::vector<std::string> worker_ids(int count) {
   std::vector<std::string> workers;
   workers.reserve(static_cast<std::size_t>(count));
   for (int i = 0; i < count; ++i) {
@@ -45,7 +45,7 @@
 }
 
 TEST(Sampling, EqualRequestsSpreadInProportionToCapacity) {  // incident i58b7cc
-  std::vector<std::string> workers = fleet_names(100);
+  std::vector<std::string> workers = worker_ids(100);
   std::map<std::string, int> requests;
   const int dispatchers = 2000;
   for (int index = 0; index < dispatchers; ++index) {
@@ -87,7 +87,7 @@
     set.health_checks_allowed = true;
     set.reports = LoadReportMode::OnProbe;
     scene = std::make_unique<Scene>(set);
-    workers = fleet_names(40);
+    workers = worker_ids(40);
     scene->list(fleet(*scene, workers, 0));
   }
   std::vector<std::string> checked_workers() {
@@ -181,7 +181,7 @@
 }
 
 TEST_F(PreDispatchCheckRule, TheNumberOfChecksDoesNotGrowWithTheFleet) {
-  workers = fleet_names(400);
+  workers = worker_ids(400);
   scene->list(fleet(*scene, workers, 0));
   for (RequestId id = 1; id <= 20; ++id) {
     scene->request(id, 100);
@@ -237,7 +237,7 @@
     set.reports = LoadReportMode::Inline;
     set.overload_window = Duration(2000);
     Scene scene(set);
-    std::vector<std::string> workers = fleet_names(60);
+    std::vector<std::string> workers = worker_ids(60);
     auto list = fleet(scene, workers, 0);
     for (int i = 0; i < 30; ++i)
       list[i].online_since = scene.now;
@@ -277,7 +277,7 @@
 // w0 to w9.
 struct NearScene : Scene {
   explicit NearScene(int index = 7) : Scene(near_settings(index)) {
-    std::vector<std::string> workers = fleet_names(40);
+    std::vector<std::string> workers = worker_ids(40);
     list(fleet(*this, workers, 0));
     for (int i = 0; i < 10; ++i)
       say(i, 0);
--- a/tests/scheduling/scheduler_test.cpp
+++ b/tests/scheduling/scheduler_test.cpp
@@ -61,7 +61,7 @@
           << action.at.time_since_epoch().count() << '\n';
     }
   };
-  scene.list(worker_entries(scene, endpoint_names(6), 2), EndpointUpdateKind::Cached);
+  scene.list(worker_entries(scene, make_endpoints(6), 2), EndpointUpdateKind::Cached);
   scene.list({}, EndpointUpdateKind::Failed);
   write();
   for (RequestId id = 1; id <= 40; ++id) {
--- a/tests/scheduling/support.h
+++ b/tests/scheduling/support.h
@@ -6,21 +6,26 @@
 #include "dispatcher/scheduling/scheduler.h"
 
 #include <algorithm>
+#include <cstddef>
+#include <iterator>
 #include <map>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
 
 namespace dispatcher::scheduling::testing {
 
 inline ClassSettings job_class(Idempotency idempotency,
                                DeduplicationScope deduplication_scope = DeduplicationScope::Zone) {
-  ClassSettings settings;
-  settings.name = "a";
-  settings.idempotency = idempotency;
-  settings.deduplication_scope = deduplication_scope;
-  settings.deduplication_window = Duration(5000);
-  settings.latency_objective = Duration(200);
-  settings.objective_work_factor = 3;
-  settings.deadline = Duration(10000);
-  return settings;
+  return {.name = "a",
+          .idempotency = idempotency,
+          .deduplication_scope = deduplication_scope,
+          .deduplication_window = Duration(5000),
+          .latency_objective = Duration(200),
+          .objective_work_factor = 3,
+          .deadline = Duration(10000)};
 }
 
 inline Settings settings(Idempotency idempotency = Idempotency::Idempotent,
@@ -48,12 +53,11 @@
 
   WorkerEntry worker(std::string_view name, int zone = 0, int cell = 0,
                      Readiness readiness = Readiness::Ready) {
-    WorkerEntry entry;
-    entry.worker = name;
-    entry.zone = zone;
-    entry.cell = cell;
-    entry.readiness = readiness;
-    return entry;
+    return {.worker = name,
+            .zone = zone,
+            .cell = cell,
+            .readiness = readiness,
+            .online_since = std::nullopt};
   }
   void list(const std::vector<WorkerEntry>& entries,
             EndpointUpdateKind kind = EndpointUpdateKind::Snapshot) {
@@ -81,7 +85,7 @@
     actions.clear();
     scheduler.on_job_event(now, id, attempt, worker, JobEventKind::Started, actions);
   }
-  // Requests 1 and 2 start and keep both slots of `worker`, the only one listed, busy.
+  // Starts requests 1 and 2, which occupy both slots of `worker`, the only listed worker.
   void fill(const std::string& worker, double cost_hint) {
     for (RequestId id : {1, 2}) {
       request(id, cost_hint);
@@ -89,8 +93,8 @@
       started(id);
     }
   }
-  // Lets time pass, waking the dispatcher each millisecond it asked for; all actions of that time
-  // stay in `actions`.
+  // Advances the clock by `span` ms with a timer event each millisecond; `actions` holds all
+  // actions of that time.
   void pass(double span) {
     actions.clear();
     for (Time until = now + Duration(span); now < until;) {
@@ -133,7 +137,7 @@
 };
 
 // `count` distinct worker endpoints, "10.0.0.0:7000" and up.
-inline std::vector<std::string> endpoint_names(int count) {
+inline std::vector<std::string> make_endpoints(int count) {
   std::vector<std::string> endpoints;
   endpoints.reserve(static_cast<std::size_t>(count));
   for (int i = 0; i < count; ++i) {
--- a/tests/scheduling/tenant_quota_rule_test.cpp
+++ b/tests/scheduling/tenant_quota_rule_test.cpp
@@ -32,41 +32,43 @@
   EXPECT_EQ(scene.sent_to(8), "a");
 }
 
+// Returns how many requests had to wait in the last six seconds, after the traffic of one tenant,
+// or of all, became about three times as much.
+int count_pending(bool all_tenants) {
+  Settings set = settings();
+  set.tenant_quotas = {2, 2, 2};
+  set.over_quota_weight = 0.05;
+  set.dispatchers = 2;
+  Scene scene(set);
+  scene.list({scene.worker("a")});
+  scene.request(1, 100000, 200000);  // keeps one of the two slots
+  EXPECT_EQ(scene.sent_to(1), "a");
+  scene.started(1);
+  int waiting = 0;
+  RequestId id = 1;
+  for (int step = 0; step < 240; ++step, scene.now += Duration(100)) {
+    // Each tenant sends one request a second, its share at this dispatcher.
+    bool more = step >= 120;
+    for (std::size_t tenant = 0; tenant < 3; ++tenant) {
+      bool bursts = more && (all_tenants || tenant == 0);
+      if ((step + 3 * static_cast<int>(tenant)) % (bursts ? 3 : 10) != 0)
+        continue;
+      scene.request(++id, 10, 50, 1, tenant);
+      bool sent = !scene.sent_to(id).empty();
+      waiting += step >= 180 && !sent;
+      if (sent) {
+        scene.end(id, 0, Outcome::Success, true);
+      } else {
+        scene.scheduler.on_client_disconnected(scene.now, id, scene.actions);
+      }
+    }
+  }
+  return waiting;
+}
+
 // Guards clients that reconnect here while another dispatcher restarts: all tenants then send more,
 // which is not a burst of one tenant.
 TEST(TenantQuotaRule, FollowsTheOtherTenantsWhenClientsMoveHere) {
-  auto count_pending =
-      [](bool all_tenants) {  // requests that had to wait when traffic became three times as much
-        Settings set = settings();
-        set.tenant_quotas = {2, 2, 2};
-        set.over_quota_weight = 0.05;
-        set.dispatchers = 2;
-        Scene scene(set);
-        scene.list({scene.worker("a")});
-        scene.request(1, 100000, 200000);  // keeps one of the two slots
-        EXPECT_EQ(scene.sent_to(1), "a");
-        scene.started(1);
-        int waiting = 0;
-        RequestId id = 1;
-        for (int step = 0; step < 240;
-             ++step, scene.now += Duration(100)) {  // each tenant once a second, its share here
-          bool more = step >= 120;
-          for (std::size_t tenant = 0; tenant < 3; ++tenant) {
-            bool bursts = more && (all_tenants || tenant == 0);
-            if ((step + 3 * static_cast<int>(tenant)) % (bursts ? 3 : 10) != 0)
-              continue;
-            scene.request(++id, 10, 50, 1, tenant);
-            bool sent = !scene.sent_to(id).empty();
-            waiting += step >= 180 && !sent;
-            if (sent) {
-              scene.end(id, 0, Outcome::Success, true);
-            } else {
-              scene.scheduler.on_client_disconnected(scene.now, id, scene.actions);
-            }
-          }
-        }
-        return waiting;
-      };
   EXPECT_LE(count_pending(true), 6);
   EXPECT_GE(count_pending(false), 8);
 }
--- a/tests/scheduling/worker_selection_test.cpp
+++ b/tests/scheduling/worker_selection_test.cpp
@@ -11,7 +11,7 @@
 
 TEST(Pools, HalfTheCapacityOfEachZoneIsShort) {
   Scene scene(settings());
-  auto ids = endpoint_names(16);
+  auto ids = make_endpoints(16);
   scene.list(worker_entries(scene, ids, 2));
   std::array<int, 2> shorts{};
   for (std::size_t i = 0; i < ids.size(); ++i)
@@ -23,7 +23,7 @@
 TEST(Pools, OneWorkerComingOrGoingMovesAtMostOneOther) {
   for (int gone = 0; gone < 12; ++gone) {
     Scene scene(settings());
-    auto ids = endpoint_names(12);
+    auto ids = make_endpoints(12);
     scene.list(worker_entries(scene, ids));
     std::vector<bool> before;
     before.reserve(ids.size());
@@ -40,7 +40,7 @@
 
 TEST(Selection, ShortAndLongRequestsGoToTheirPools) {
   Scene scene(settings());
-  auto ids = endpoint_names(8);
+  auto ids = make_endpoints(8);
   scene.list(worker_entries(scene, ids));
   RequestId id = 0;
   for (int i = 0; i < 200; ++i) {  // fills the histogram; every request ends at once
