--- a/tests/scheduling/support.h
+++ b/tests/scheduling/support.h
@@ -1,26 +1,31 @@
-// What the tests of the dispatcher share: a dispatcher with a clock, and short ways to feed it and
-// read its actions.
+// Fixtures of the scheduling tests: settings, and a scheduler with a manual clock whose events are
+// short calls and whose actions are recorded.
 #pragma once
 
 #include <gtest/gtest.h>
 #include "dispatcher/scheduling/scheduler.h"
 
 #include <algorithm>
+#include <cstddef>
+#include <iterator>
 #include <map>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
 
 namespace dispatcher::scheduling::testing {
 
 inline ClassSettings job_class(Idempotency idempotency,
                                DeduplicationScope deduplication_scope = DeduplicationScope::Zone) {
-  ClassSettings settings;
-  settings.name = "a";
-  settings.idempotency = idempotency;
-  settings.deduplication_scope = deduplication_scope;
-  settings.deduplication_window = Duration(5000);
-  settings.latency_objective = Duration(200);
-  settings.objective_work_factor = 3;
-  settings.deadline = Duration(10000);
-  return settings;
+  return {.name = "a",
+          .idempotency = idempotency,
+          .deduplication_scope = deduplication_scope,
+          .deduplication_window = Duration(5000),
+          .latency_objective = Duration(200),
+          .objective_work_factor = 3,
+          .deadline = Duration(10000)};
 }
 
 inline Settings settings(Idempotency idempotency = Idempotency::Idempotent,
@@ -43,17 +48,16 @@
 
 class Scene {
  public:
-  explicit Scene(const Settings& config, Time begun = Time(Duration(1000000)))
-      : now(begun), scheduler(config, now, actions) {}
+  explicit Scene(const Settings& config, Time start = Time(Duration(1000000)))
+      : now(start), scheduler(config, now, actions) {}
 
   WorkerEntry worker(std::string_view name, int zone = 0, int cell = 0,
                      Readiness readiness = Readiness::Ready) {
-    WorkerEntry entry;
-    entry.worker = name;
-    entry.zone = zone;
-    entry.cell = cell;
-    entry.readiness = readiness;
-    return entry;
+    return {.worker = name,
+            .zone = zone,
+            .cell = cell,
+            .readiness = readiness,
+            .online_since = std::nullopt};
   }
   void list(const std::vector<WorkerEntry>& entries,
             EndpointUpdateKind kind = EndpointUpdateKind::Snapshot) {
@@ -81,7 +85,7 @@
     actions.clear();
     scheduler.on_job_event(now, id, attempt, worker, JobEventKind::Started, actions);
   }
-  // Requests 1 and 2 start and keep both slots of `worker`, the only one listed, busy.
+  // Starts requests 1 and 2, which occupy both slots of `worker`, the only listed worker.
   void fill(const std::string& worker, double cost_hint) {
     for (RequestId id : {1, 2}) {
       request(id, cost_hint);
@@ -89,8 +93,8 @@
       started(id);
     }
   }
-  // Lets time pass, waking the dispatcher each millisecond it asked for; all actions of that time
-  // stay in `actions`.
+  // Advances the clock by `span` ms with a timer event each millisecond; `actions` holds all
+  // actions of that time.
   void pass(double span) {
     actions.clear();
     for (Time until = now + Duration(span); now < until;) {
@@ -109,15 +113,18 @@
   std::string sent_to(RequestId id) {
     std::string worker;
     for (const Action& action : of(ActionKind::Send)) {
-      if (action.id == id)
-        attempt_worker[{id, attempts[id]++}] = worker = action.worker;
+      if (action.id == id) {
+        worker = action.worker;
+        attempt_worker[{id, attempts[id]++}] = worker;
+      }
     }
     return worker;
   }
   bool answered(RequestId id, ActionKind kind) {
     for (const Action& action : of(kind)) {
-      if (action.id == id)
+      if (action.id == id) {
         return true;
+      }
     }
     return false;
   }
@@ -129,4 +136,26 @@
   Scheduler scheduler;
 };
 
+// `count` distinct worker endpoints, "10.0.0.0:7000" and up.
+inline std::vector<std::string> make_endpoints(int count) {
+  std::vector<std::string> endpoints;
+  endpoints.reserve(static_cast<std::size_t>(count));
+  for (int i = 0; i < count; ++i) {
+    endpoints.push_back("10.0.0." + std::to_string(i) + ":7000");
+  }
+  return endpoints;
+}
+
+// Ready workers, spread over zones 0 to `zones` - 1 in turn.
+inline std::vector<WorkerEntry> worker_entries(Scene& scene,
+                                               const std::vector<std::string>& endpoints,
+                                               int zones = 1) {
+  std::vector<WorkerEntry> entries;
+  entries.reserve(endpoints.size());
+  for (std::size_t i = 0; i < endpoints.size(); ++i) {
+    entries.push_back(scene.worker(endpoints[i], static_cast<int>(i) % zones));
+  }
+  return entries;
+}
+
 }  // namespace dispatcher::scheduling::testing
