--- a/bench/operations.cpp
+++ b/bench/operations.cpp
@@ -60,7 +60,7 @@
       ClientRequest request;
       request.id = ++last_id_;
       request.query = "news=1";
-      ClientResponse response = client.hand_in(request);
+      ClientResponse response = client.submit_request(request);
       if (response.status != 200)
         throw std::runtime_error("a request failed");
       request_ms.push_back(response.ms);
--- a/bench/streaming.cpp
+++ b/bench/streaming.cpp
@@ -101,7 +101,7 @@
       request.id = next_id();
       if (features.empty())
         request.query = "news=1";
-      if (hand_in(address(), request).status != 200)
+      if (submit_request(address(), request).status != 200)
         throw std::runtime_error("a first request failed");
     }
   }
@@ -120,7 +120,7 @@
   std::vector<std::thread> threads;
   threads.reserve(requests.size());
   for (std::size_t i = 0; i < requests.size(); ++i)
-    threads.emplace_back([&, i] { responses[i] = hand_in(address, requests[i]); });
+    threads.emplace_back([&, i] { responses[i] = submit_request(address, requests[i]); });
   for (std::thread& thread : threads)
     thread.join();
   return responses;
@@ -289,7 +289,7 @@
         request.id = next_id();
         request.upload = 200;
         request.query = query;
-        ClientResponse response = hand_in(address, request);
+        ClientResponse response = submit_request(address, request);
         std::lock_guard lock(mutex);
         times_ms.push_back(response.status == 200 ? response.ms : kFailedRequestMs);
       }
--- a/src/features/features.cpp
+++ b/src/features/features.cpp
@@ -133,9 +133,9 @@
   if (parsed)
     check(features, locations, errors);
   if (!errors.text().empty())
-    throw BadFeatures(errors.text());
+    throw FeaturesError(errors.text());
   if (!parsed)
-    throw BadFeatures(name + ":1:1: this is no features file");
+    throw FeaturesError(name + ":1:1: this is no features file");
   return features;
 }
 
@@ -143,7 +143,7 @@
   std::ifstream in(path, std::ios::binary);
   std::string text{std::istreambuf_iterator<char>(in), {}};
   if (!in)
-    throw BadFeatures(path + ":1:1: cannot be read");
+    throw FeaturesError(path + ":1:1: cannot be read");
   return read_features(text, path);
 }
 
--- a/src/features/features.h
+++ b/src/features/features.h
@@ -10,11 +10,11 @@
 namespace dispatcher::features {
 
 // One line for each fault: file:line:column: reason.
-struct BadFeatures : std::runtime_error {
+struct FeaturesError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// `name`: of the file, for the errors. Both throw BadFeatures with every fault found.
+// `name`: of the file, for the errors. Both throw FeaturesError with every fault found.
 Features read_features(const std::string& text, const std::string& name);
 Features read_features_file(const std::string& path);
 
--- a/src/fleet/key_file.cpp
+++ b/src/fleet/key_file.cpp
@@ -25,10 +25,10 @@
 constexpr unsigned kMaxKeyId = 255;
 constexpr std::size_t kSecretBytes = std::tuple_size_v<decltype(Key::secret)>;
 
-// Throws BadKeys where the file cannot be read or others than its owner may access it.
+// Throws KeyFileError where the file cannot be read or others than its owner may access it.
 std::string read_private_file(const std::string& path) {
   auto fault = [&](const std::string& reason) {
-    return BadKeys(path + ":1:1: " + reason);
+    return KeyFileError(path + ":1:1: " + reason);
   };
   // Non-blocking, as opening a named pipe would wait for its writer.
   transport::Descriptor file(open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK));
@@ -95,10 +95,10 @@
   parser.WriteLocationsTo(&locations);
   keys::Keys parsed;
   if (!parser.ParseFromString(text, &parsed))
-    throw BadKeys(errors.text());
+    throw KeyFileError(errors.text());
   std::vector<Key> keys = check_keys(parsed, locations, errors);
   if (!errors.text().empty())
-    throw BadKeys(errors.text());
+    throw KeyFileError(errors.text());
   return keys;
 }
 
--- a/src/fleet/key_file.h
+++ b/src/fleet/key_file.h
@@ -10,11 +10,11 @@
 namespace dispatcher::fleet {
 
 // One line for each fault: file:line:column: reason.
-struct BadKeys : std::runtime_error {
+struct KeyFileError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// Returns at least one key; ids are unique. Throws BadKeys with every fault found, also where
+// Returns at least one key; ids are unique. Throws KeyFileError with every fault found, also where
 // others than the owner may access the file.
 std::vector<Key> read_keys_file(const std::string& path);
 
--- a/src/fleet/load_gossip.cpp
+++ b/src/fleet/load_gossip.cpp
@@ -48,7 +48,7 @@
 
 // Rendezvous hashing: the dispatchers with the least hash of worker and index. Neighborhoods of
 // different workers overlap in all ways, so that a burst at one dispatcher spreads over the fleet.
-std::vector<int> near_to(std::string_view worker, int dispatchers) {
+std::vector<int> neighborhood_of(std::string_view worker, int dispatchers) {
   struct Candidate {
     std::uint64_t hash = 0;
     int dispatcher = 0;
@@ -77,7 +77,7 @@
   int sum = 0;
   for (const auto& [sender, claim] : claims)
     sum += claim.jobs;
-  return std::min(sum, kMostThere);
+  return std::min(sum, kMaxJobsPerWorker);
 }
 
 void LoadGossip::list(const std::vector<std::string>& workers, const Changed& changed) {
@@ -96,7 +96,7 @@
 void LoadGossip::add_worker(ShortName name, const std::string& worker, const Changed& changed) {
   Worker& added = workers_[name];
   added.name = worker;
-  std::vector<int> neighbors = near_to(worker, dispatchers_);
+  std::vector<int> neighbors = neighborhood_of(worker, dispatchers_);
   if (std::erase(neighbors, self_) == 0 || neighbors.empty())
     return;
   for (int neighbor : neighbors)
@@ -260,7 +260,7 @@
   Claim& claim = worker.claims[sender];
   claimed -= claim.jobs;
   // A faulty or foreign sender must not make the whole fleet look full.
-  claim = {.jobs = std::min(jobs, kMostOfOne - claimed), .received_at = now};
+  claim = {.jobs = std::min(jobs, kMaxJobsPerSender - claimed), .received_at = now};
   claimed += claim.jobs;
   worker.ever_used |= jobs > 0;
   if (claim.jobs == 0)
--- a/src/fleet/load_gossip.h
+++ b/src/fleet/load_gossip.h
@@ -30,13 +30,14 @@
 // Indices, among `dispatchers`, of a worker's assigned neighborhood: they prefer this worker and
 // notify each other of their jobs there. The same at every dispatcher, of the same size for each
 // worker, evenly spread; in a small fleet all dispatchers.
-std::vector<int> near_to(std::string_view worker, int dispatchers);
+std::vector<int> neighborhood_of(std::string_view worker, int dispatchers);
 
 inline constexpr std::size_t kLongest = 255;  // bytes of a message
 inline constexpr Duration kKept{10'000};      // lifetime of a received entry
 inline constexpr Duration kLeft{300};         // longest delay of a fallen count: a short job's time
-inline constexpr int kMostOfOne = 64;         // jobs counted for one sender at all workers together
-inline constexpr int kMostThere = 255;        // jobs counted at one worker for all senders together
+inline constexpr int kMaxJobsPerSender = 64;  // jobs counted for one sender at all workers together
+inline constexpr int kMaxJobsPerWorker =
+    255;  // jobs counted at one worker for all senders together
 
 class LoadGossip {
  public:
--- a/src/fleet/membership_view.h
+++ b/src/fleet/membership_view.h
@@ -66,7 +66,7 @@
   std::uint64_t sent() const { return sent_; }        // datagrams
   std::uint64_t dropped() const { return dropped_; }  // invalid datagrams
   // Local health: pings during which nothing at all was received, less those acknowledged.
-  int doubt_in_self() const { return health_score_; }
+  int health_score() const { return health_score_; }
 
  private:
   // The ping of the current protocol period.
--- a/src/fleet/view_json.cpp
+++ b/src/fleet/view_json.cpp
@@ -38,14 +38,14 @@
     reasons[reason] = Json::UInt64{count};
 
   Json::Value json;
-  json["self"] = to_text(view.self());           // wire: self
-  json["incarnation"] = view.incarnation();      // wire: incarnation
-  json["digest"] = to_hex(view.digest());        // wire: digest
-  json["members"] = members;                     // wire: members
-  json["sent"] = Json::UInt64{view.sent()};      // wire: sent
-  json["dropped"] = reasons;                     // wire: dropped
-  json["sealed"] = authenticated;                // wire: sealed
-  json["doubt_in_self"] = view.doubt_in_self();  // wire: doubt_in_self, the local health score
+  json["self"] = to_text(view.self());          // wire: self
+  json["incarnation"] = view.incarnation();     // wire: incarnation
+  json["digest"] = to_hex(view.digest());       // wire: digest
+  json["members"] = members;                    // wire: members
+  json["sent"] = Json::UInt64{view.sent()};     // wire: sent
+  json["dropped"] = reasons;                    // wire: dropped
+  json["sealed"] = authenticated;               // wire: sealed
+  json["doubt_in_self"] = view.health_score();  // wire: health_score, the local health score
   return json.toStyledString();
 }
 
--- a/src/hot_restart/hot_restart.cpp
+++ b/src/hot_restart/hot_restart.cpp
@@ -24,7 +24,7 @@
           outgoing_.on_connected(std::move(socket));
         });
   } catch (const std::runtime_error& error) {
-    context_.log.line("upgrade", std::string("no other process can take over: ") + error.what());
+    context_.log.line("hot-restart", std::string("not available: ") + error.what());
   }
 }
 
--- a/src/hot_restart/incoming_process.cpp
+++ b/src/hot_restart/incoming_process.cpp
@@ -28,14 +28,14 @@
   contact.socket = transport::connect_local(socket_path);
   if (!contact.socket)
     return std::nullopt;
-  log.line("upgrade", "another process of this dispatcher is here");
+  log.line("hot-restart", "another process of this dispatcher is running");
   transport::send_packet(contact.socket.get(), hello_packet(self));
   auto packet = transport::receive_within(contact.socket.get(), kFirstAnswerTimeout);
   std::optional<Message> message = packet ? read_message(packet->bytes) : std::nullopt;
   if (!message)
     return contact;
   if (message->has_rejection()) {
-    log.line("upgrade", "it turned us away: " + message->rejection().reason());
+    log.line("hot-restart", "the outgoing process rejected us: " + message->rejection().reason());
     contact.rejected = true;
   } else if (message->has_welcome() && packet->descriptors.size() == 1) {
     contact.welcome = message->welcome();
@@ -122,8 +122,8 @@
   std::size_t held_there = transfer.accepted_connections();
   std::size_t max_accepted = options_.connection_limits.accepted;
   set_accepted_limit(std::max(kMinAccepted, max_accepted - std::min(max_accepted, held_there)));
-  context_.log.line("upgrade", "takes over; the other process holds " + std::to_string(held_there) +
-                                   " connections");
+  context_.log.line("hot-restart", "ownership received; the other process holds " +
+                                       std::to_string(held_there) + " connections");
   carry_out(action);
 }
 
@@ -132,7 +132,7 @@
 void IncomingProcess::limit_use_of_workers() {
   ServingProgram& program = context_.program;
   transport::Time now = context_.clock.now();
-  program.apply_endpoint_update(program.cordon_list().hold_cold(now - options_.slow_start));
+  program.apply_endpoint_update(program.cordon_list().hold_warming_up(now - options_.slow_start));
   if (options_.retry_budget_window.count() > 0) {
     program.limit_retry_budget(RetryBudgetLimit::WithoutFreePart);
     context_.deadlines.add(now + options_.retry_budget_window, [this] {
@@ -144,7 +144,7 @@
     if (callbacks_.has_transferred_ownership())
       return;
     ServingProgram& later = context_.program;
-    later.apply_endpoint_update(later.cordon_list().hold_cold(std::nullopt));
+    later.apply_endpoint_update(later.cordon_list().hold_warming_up(std::nullopt));
   });
 }
 
@@ -181,7 +181,7 @@
 }
 
 void IncomingProcess::close_link() {
-  context_.log.line("upgrade", "the other process said what makes no sense");
+  context_.log.line("hot-restart", "malformed message from the outgoing process");
   predecessor_.close();
   carry_out(ownership_.on_link_ended());
 }
@@ -203,7 +203,7 @@
     context_.network.share_listener(std::move(listener_), acceptor);
   if (!context_.network.listener())
     context_.network.listen(options_.identity.listen, acceptor, true);
-  context_.network.accept_from_now_on(true);
+  context_.network.set_accepting(true);
   context_.program.set_serving(true);
   options_.start_fleet_socket(std::move(inherited_fleet_));
   if (!predecessor_.is_up())
--- a/src/hot_restart/outgoing_process.cpp
+++ b/src/hot_restart/outgoing_process.cpp
@@ -75,7 +75,7 @@
     case Action::Reclaim:
       return reclaim();
     case Action::CloseLink:
-      context_.log.line("upgrade", "a newcomer said what makes no sense");
+      context_.log.line("hot-restart", "malformed message from the incoming process");
       return successor_.close();
   }
 }
@@ -85,27 +85,27 @@
   successor_.send(
       make_welcome(options_.wall_to_steady, program.cordon_list(), program.identifiers()),
       context_.network.listener());
-  context_.log.line("upgrade", "a newcomer is welcome");
+  context_.log.line("hot-restart", "an incoming process has connected");
 }
 
 void OutgoingProcess::send_rejection() {
   successor_.send(make_rejection("another version, or another dispatcher"));
-  context_.log.line("upgrade", "a process of another version or dispatcher was turned away");
+  context_.log.line("hot-restart", "a process of another version or dispatcher was rejected");
 }
 
 void OutgoingProcess::transfer_ownership() {
   ServingProgram& program = context_.program;
-  context_.network.accept_from_now_on(false);
+  context_.network.set_accepting(false);
   context_.network.limit(options_.shared_limits(options_.connection_limits.accepted));
   send_ownership_transfer();
   if (options_.retry_budget_window.count() > 0)
     program.limit_retry_budget(RetryBudgetLimit::NoRetries);
   program.on_last_call([this](routing::RequestRef request) { release_request(request); });
   program.apply_endpoint_update(
-      program.cordon_list().hold_cold(context_.clock.now() - options_.slow_start));
-  context_.log.line("upgrade", "yields to the newcomer; " +
-                                   std::to_string(program.router().open_requests()) +
-                                   " commands are open here");
+      program.cordon_list().hold_warming_up(context_.clock.now() - options_.slow_start));
+  context_.log.line("hot-restart", "ownership transferred; " +
+                                       std::to_string(program.router().open_requests()) +
+                                       " requests are open here");
   release_idle_connections();
 }
 
@@ -154,7 +154,7 @@
 
 void OutgoingProcess::reclaim() {
   ServingProgram& program = context_.program;
-  context_.log.line("upgrade", "the newcomer is gone; takes connections again");
+  context_.log.line("hot-restart", "the incoming process is gone; accepts connections again");
   shared_events_.fail_forwarded();
   program.client_server().pass_on(nullptr);
   program.on_last_call(nullptr);
@@ -162,9 +162,9 @@
     program.limit_retry_budget(RetryBudgetLimit::Unlimited);
   if (program.fleet_socket())
     program.fleet_socket()->speak(true);
-  program.apply_endpoint_update(program.cordon_list().hold_cold(std::nullopt));
+  program.apply_endpoint_update(program.cordon_list().hold_warming_up(std::nullopt));
   context_.network.limit(options_.connection_limits);
-  context_.network.accept_from_now_on(true);
+  context_.network.set_accepting(true);
   on_reclaimed_();
 }
 
--- a/src/hot_restart/shared_events.cpp
+++ b/src/hot_restart/shared_events.cpp
@@ -56,8 +56,8 @@
     retry = released_.contains(event.id);
     if (!retry)
       program_.client_server().on_job_event(std::move(event));
-  } catch (const protocol::Refused& error) {
-    log_.line("upgrade", std::string("a call-back from the other process: ") + error.what());
+  } catch (const protocol::MessageError& error) {
+    log_.line("hot-restart", std::string("a job event from the other process: ") + error.what());
   }
   sender.send(make_job_event_receipt(forward.number(), retry));
 }
--- a/src/http/client_server.cpp
+++ b/src/http/client_server.cpp
@@ -34,7 +34,7 @@
 ClientServer::Session& ClientServer::open_session(SlotRef connection) {
   Session& session = sessions_[connection];
   if (streaming_)
-    session.parser.stream(is_request_head, streaming_->most_body);
+    session.parser.stream(is_request_head, streaming_->maximum_body_bytes);
   return session;
 }
 
--- a/src/http/client_server.h
+++ b/src/http/client_server.h
@@ -40,9 +40,9 @@
   // Responses close their connections from now on, and each call closes those that are idle.
   void close_connections();
   // Rejects new requests: no answer to them could arrive before the process ends.
-  void refuse_commands() { stage_ = Stage::Ending; }
+  void reject_requests() { stage_ = Stage::Ending; }
   // Aborts the replies that are still being relayed.
-  void cut_streams();
+  void abort_replies();
   bool empty() const { return sessions_.empty(); }
 
   // ---- Hot restart ----
--- a/src/http/client_server_requests.cpp
+++ b/src/http/client_server_requests.cpp
@@ -97,7 +97,7 @@
   }
   auto payload = std::make_shared<HttpRequestPayload>(std::move(parsed));
   if (!open_pipes(*payload, message.streamed)) {
-    platform_.log.line("stream", "no memory for another body; a command was refused");
+    platform_.log.line("stream", "no memory for another body; a request was rejected");
     router_->count_rejected(request.job_class);
     return reject_unscheduled(connection, message.streamed, "too many bodies are on their way");
   }
@@ -111,12 +111,12 @@
       payload->length = session.parser.body_reader().length();
     begin_upload(connection, session, payload->upload, message);
   };
-  using Taking = routing::Router::Taking;
-  Taking result = router_->take({request, payload}, on_admitted);
-  if (result == Taking::Full) {
-    platform_.log.line("full", "the command table is full; a command was refused");
+  using Admission = routing::Router::AdmissionResult;
+  Admission result = router_->admit({request, payload}, on_admitted);
+  if (result == Admission::TableFull) {
+    platform_.log.line("full", "the request table is full; a request was rejected");
     reject_unscheduled(connection, message.streamed, "too many commands are open");
-  } else if (result == Taking::Duplicate) {
+  } else if (result == Admission::Duplicate) {
     respond_error(connection, 409, "a command had this X-Correlation-Id a moment ago");
   }
 }
--- a/src/http/client_server_streams.cpp
+++ b/src/http/client_server_streams.cpp
@@ -14,7 +14,7 @@
 bool ClientServer::open_pipes(HttpRequestPayload& payload, bool uploads) {
   if (!streaming_)
     return true;
-  streaming::Budget& budget = *streaming_->budget;
+  streaming::MemoryBudget& budget = *streaming_->budget;
   if (!budget.can_open(uploads ? 2 : 1))
     return false;
   if (uploads)
@@ -166,7 +166,7 @@
   transport::Network& network = platform_.network;
   Transfer& transfer = *session->transfer;
   if (transfer.reply->pipe()->aborted())
-    return abort_reply(connection, "the instance broke it off");
+    return abort_reply(connection, "the worker reset it");
   transfer.reply->send_available(network, connection);
   transfer.reply_stall.set_waiting(platform_.clock.now(), network.unsent_bytes(connection) > 0);
   if (transfer.reply->all_taken() && !std::exchange(transfer.reply_terminated, true)) {
@@ -192,19 +192,19 @@
 // The client sees a body without its last chunk, or shorter than its length: the response has been
 // sent, and no second one can follow.
 void ClientServer::abort_reply(SlotRef connection, const std::string& reason) {
-  platform_.log.line("stream", "a reply was cut, its order has failed: " + reason);
+  platform_.log.line("stream", "a reply was cut, its request has failed: " + reason);
   remove_session(connection);
   platform_.network.reset(connection);
 }
 
-void ClientServer::cut_streams() {
+void ClientServer::abort_replies() {
   std::vector<SlotRef> replying;
   for (const auto& [connection, session] : sessions_) {
     if (session.transfer && session.transfer->reply)
       replying.push_back(connection);
   }
   for (SlotRef connection : replying)
-    abort_reply(connection, "the time to end is over");
+    abort_reply(connection, "the drain timeout is over");
 }
 
 void ClientServer::on_written(SlotRef connection) {
@@ -230,7 +230,7 @@
     checked.stall_check = {};
     transport::Time now = platform_.clock.now();
     if (checked.reply_stall.is_stalled(now, streaming_->stall))
-      return abort_reply(connection, "the client takes nothing");
+      return abort_reply(connection, "the client stopped reading");
     if (checked.upload_stall.is_stalled(now, streaming_->stall))
       return abort_upload(connection, 408, "the client sends nothing");
     schedule_stall_check(connection, checked);
--- a/src/http/discovery_client.cpp
+++ b/src/http/discovery_client.cpp
@@ -56,7 +56,7 @@
   poll_deadline_ = platform_.deadlines.add(now + poll_timeout(wait),
                                            [this] { on_poll_failed("no answer in time"); });
   if (trace_)
-    trace_("call " + (revision_ ? std::to_string(*revision_) : "whole"));
+    trace_("poll " + (revision_ ? std::to_string(*revision_) : "snapshot"));
   platform_.network.send(*connection_, protocol::write_watch(revision_, wait, options_.address));
 }
 
@@ -88,7 +88,8 @@
   platform_.deadlines.drop(poll_deadline_);
   polling_ = false;
   if (failed_polls_ > 0)
-    platform_.log.line("names", "heard after " + std::to_string(failed_polls_) + " failed calls");
+    platform_.log.line("discovery",
+                       "answered again after " + std::to_string(failed_polls_) + " failed polls");
   failed_polls_ = 0;
   revision_ = update->revision;
   if (trace_) {
@@ -143,7 +144,7 @@
 }
 
 void DiscoveryClient::on_poll_failed(const std::string& reason) {
-  platform_.log.line("names", "a call to discovery failed: " + reason);
+  platform_.log.line("discovery", "a poll failed: " + reason);
   ++failed_polls_;
   close_connection();
   polling_ = false;
--- a/src/http/worker_client.cpp
+++ b/src/http/worker_client.cpp
@@ -86,7 +86,7 @@
   call.payload = payload;
   call.deadline = deadline;
   if (streaming_)
-    call.parser.stream(is_reply_head, streaming_->most_body);
+    call.parser.stream(is_reply_head, streaming_->maximum_body_bytes);
   if (upload)
     call.transfer = upload_transfer(http_payload);
   if (start_call(std::move(call), {})) {
--- a/src/http/worker_client.h
+++ b/src/http/worker_client.h
@@ -31,7 +31,7 @@
         idle_(platform.network, platform.deadlines, platform.clock) {}
 
   void attach(routing::Router& router) { router_ = &router; }
-  void retime(Times times) { times_ = times; }
+  void set_times(Times times) { times_ = times; }
   // Where the workers are. To be called before the scheduler learns of the update.
   void update(const protocol::EndpointUpdate& update);
   // To be called after the scheduler has learned of the update: ends the attempts that still wait
--- a/src/http/worker_client_calls.cpp
+++ b/src/http/worker_client_calls.cpp
@@ -57,7 +57,7 @@
   if (!connection && idle_.close_any())
     connection = connect();
   if (!connection)
-    platform_.log.line("instance", worker + ": no connection to be had to " + address);
+    platform_.log.line("worker", worker + ": cannot connect to " + address);
   return connection;
 }
 
@@ -155,7 +155,7 @@
         return on_answer(connection, *message);
     }
   } catch (const protocol::HttpError& error) {
-    platform_.log.line("instance", call->worker + ": malformed answer: " + error.what());
+    platform_.log.line("worker", call->worker + ": malformed answer: " + error.what());
     return end_call(connection, Outcome::Failure);
   }
   send_upload(connection);  // its last byte may have waited for this input
@@ -189,7 +189,7 @@
   auto answer = protocol::parse_submit_answer(message, platform_.words, streaming_.has_value());
   // A job whose last byte is still held back has not begun, whatever the answer says.
   if (!call.held_back_byte.empty() && answer.end != Outcome::Rejected) {
-    platform_.log.line("instance", call.worker + ": answered before it had the whole command");
+    platform_.log.line("worker", call.worker + ": answered before it had the whole request");
     answer.end = Outcome::ConnectFailed;
   }
   if (!answer.end) {  // accepted: job events follow
--- a/src/http/worker_client_streams.cpp
+++ b/src/http/worker_client_streams.cpp
@@ -162,7 +162,7 @@
     if (reply->appended_bytes() > kBulkThresholdBytes)
       platform_.network.set_bulk(connection, true);
   } catch (const protocol::HttpError& error) {
-    platform_.log.line("instance", call.worker + ": malformed reply: " + error.what());
+    platform_.log.line("worker", call.worker + ": malformed reply: " + error.what());
     return abort_reply(connection);
   }
   Call* open = find(connection);
@@ -218,7 +218,7 @@
       return abort_reply(connection);
     }
     if (checked.upload_stall.is_stalled(now, streaming_->stall)) {
-      platform_.log.line("stream", call->worker + ": it takes no more of an upload");
+      platform_.log.line("stream", call->worker + ": it stopped reading an upload");
       return end_call(connection, Outcome::ConnectFailed);  // the job has not begun
     }
     schedule_stall_check(connection, checked);
--- a/src/operations/admin_handler.cpp
+++ b/src/operations/admin_handler.cpp
@@ -113,7 +113,7 @@
   return *found;
 }
 
-Answer answer_call(const protocol::Message& call, AdminOperations& operations) try {
+Answer handle_admin_request(const protocol::Message& call, AdminOperations& operations) try {
   std::optional<Call> known = call_of(call.target.substr(0, call.target.find('?')));
   // Without the membership view the call does not exist.
   if (!known || (*known == Call::Fleet && operations.fleet().empty()))
--- a/src/operations/admin_handler.h
+++ b/src/operations/admin_handler.h
@@ -29,7 +29,7 @@
   int status = 200;
   std::string body;
 };
-Answer answer_call(const protocol::Message& call, AdminOperations& operations);
+Answer handle_admin_request(const protocol::Message& call, AdminOperations& operations);
 
 // Returns the unescaped parameter `name` of a target's query. Throws protocol::HttpError 400 where
 // it is missing, empty, given twice or badly escaped: an ambiguous call must not be guessed at.
--- a/src/operations/cordon_list.cpp
+++ b/src/operations/cordon_list.cpp
@@ -63,7 +63,7 @@
   return update;
 }
 
-EndpointUpdate CordonList::hold_cold(std::optional<Time> since) {
+EndpointUpdate CordonList::hold_warming_up(std::optional<Time> since) {
   cold_since_ = since;
   return full_update();
 }
--- a/src/operations/cordon_list.h
+++ b/src/operations/cordon_list.h
@@ -26,7 +26,7 @@
 
   // During a hot restart, workers that started after `since` are left to the other process, since
   // its requests there are not known here. Nothing ends that. Returns the update for the scheduler.
-  protocol::EndpointUpdate hold_cold(std::optional<scheduling::Time> since);
+  protocol::EndpointUpdate hold_warming_up(std::optional<scheduling::Time> since);
 
   struct ByHand {
     scheduling::Time since;                // when it was cordoned
--- a/src/program/app.cpp
+++ b/src/program/app.cpp
@@ -56,11 +56,11 @@
     return std::nullopt;
   const features::Streaming& feature = features.streaming();
   Streaming options;
-  options.most_body = feature.most_body_bytes();
+  options.maximum_body_bytes = feature.most_body_bytes();
   options.replay_bytes = feature.replay_bytes();
   options.stall = Duration(feature.stall_ms());
   options.longest = Duration(feature.longest_transfer_ms());
-  options.budget = std::make_shared<streaming::Budget>(
+  options.budget = std::make_shared<streaming::MemoryBudget>(
       std::size_t{feature.memory_ceiling_mb()} << 20, std::size_t{feature.window_kb()} << 10);
   return options;
 }
@@ -107,8 +107,8 @@
       .operators = config.ops.empty() ? 0 : std::clamp<std::size_t>(config.sockets / 16, 8, 64)};
   shares.accepted -= std::min(shares.operators, shares.accepted / 4);
   shares.commands = shares.accepted * 9 / 10;
-  if (config.most_open > 0)
-    shares.commands = std::min(shares.commands, config.most_open);
+  if (config.max_open_requests > 0)
+    shares.commands = std::min(shares.commands, config.max_open_requests);
   return shares;
 }
 
@@ -126,7 +126,7 @@
                  discovery_options(config_)),
       router_(config_.settings, share_descriptors(config_).commands, clock, deadlines,
               {client_server_, workers_, discovery_}, metrics_,
-              [&log](const std::string& text) { log.line("module", text); }),
+              [&log](const std::string& text) { log.line("scheduler", text); }),
       adopted_requests_(client_server_, workers_,
                         {network, deadlines, clock, config_.words, log, metrics_}) {
   client_server_.attach(router_);
@@ -144,10 +144,10 @@
   discovery_.trace(write_line);
 }
 
-void App::talk_to(FleetSocket& fleet_socket) {
+void App::attach_gossip(FleetSocket& fleet_socket) {
   fleet_socket_ = &fleet_socket;
   fleet_socket.attach(router_);
-  router_.talk_to(fleet_socket);
+  router_.attach_gossip(fleet_socket);
   announce_workers();
 }
 
@@ -177,7 +177,7 @@
   if (!config_.settings.watch_required)
     discovery_.watch();
   log_.line("start", config_.name + " listens on " + config_.listen + ", knows " +
-                         std::to_string(known.entries.size()) + " instances");
+                         std::to_string(known.entries.size()) + " workers");
 }
 
 void App::on_endpoint_update(EndpointUpdateKind kind, const protocol::EndpointUpdate& update) {
@@ -249,7 +249,7 @@
 void App::reload(Config next) {
   bool discovery_moved = next.discovery != config_.discovery;
   bool settings_changed = next.file["settings"] != config_.file["settings"];
-  keep_numbers(config_, next);
+  keep_indexes(config_, next);
   log_reload(next, settings_changed);
   config_.settings = std::move(next.settings);
   if (settings_changed)
@@ -258,7 +258,7 @@
   config_.conn_idle = next.conn_idle;
   config_.file = std::move(next.file);
   if (settings_changed)
-    workers_.retime(worker_times(config_));
+    workers_.set_times(worker_times(config_));
   ++metrics_.cfg_accepted;
   config_.discovery = next.discovery;
   if (discovery_moved)
@@ -297,8 +297,7 @@
   if (terminated_at_)
     return;
   terminated_at_ = clock_.now();
-  log_.line("stop",
-            "asked to end; " + std::to_string(router_.open_requests()) + " commands are open");
+  log_.line("stop", "draining; " + std::to_string(router_.open_requests()) + " requests are open");
   client_server_.start_draining();
   if (fleet_socket_)
     fleet_socket_->leave();
@@ -338,12 +337,12 @@
   }
   adopted_requests_.fail_all();
   if (router_.open_requests() > 0) {
-    log_.line("stop",
-              std::to_string(router_.open_requests()) + " commands fail: the time to end is over");
+    log_.line("stop", std::to_string(router_.open_requests()) +
+                          " requests fail: the drain timeout is over");
     router_.fail_all();
   }
-  client_server_.refuse_commands();
-  client_server_.cut_streams();
+  client_server_.reject_requests();
+  client_server_.abort_replies();
 }
 
 bool App::has_open_work(Duration since_term) const {
--- a/src/program/app.h
+++ b/src/program/app.h
@@ -39,7 +39,7 @@
   // Logs a line for each event of a request; call before start().
   void trace();
   // Starts the exchange with other dispatchers; `fleet_socket` must outlive the App.
-  void talk_to(FleetSocket& fleet_socket);
+  void attach_gossip(FleetSocket& fleet_socket);
   void start();
 
   // SIGHUP. The settings hold for requests to come; open requests, what the scheduler has learned
--- a/src/program/commands.cpp
+++ b/src/program/commands.cpp
@@ -7,12 +7,12 @@
 
 namespace dispatcher::program {
 
-void show_permits(const Config& config) {
+void show_settings_summary(const Config& config) {
   settings::Place place;
   place.sockets = config.sockets;
   place.memory_mb = config.memory_mb;
-  place.most_open = config.most_open;
-  place.peers_allowed = config.may_talk;
+  place.max_open_requests = config.max_open_requests;
+  place.peers_allowed = config.gossip_allowed;
   place.listens = !config.peer_listen.empty();
   place.peers = config.peers.size();
   std::fputs(settings::describe(config.settings, place).c_str(), stdout);
--- a/src/program/commands.h
+++ b/src/program/commands.h
@@ -6,7 +6,7 @@
 namespace dispatcher::program {
 
 // A table of what a configuration permits; what in it contradicts itself goes to standard error.
-void show_permits(const Config& config);
+void show_settings_summary(const Config& config);
 
 // The fleet as the dispatcher with this operators' address holds it. Throws std::runtime_error with
 // one line.
--- a/src/program/config.cpp
+++ b/src/program/config.cpp
@@ -257,8 +257,9 @@
     config.settings.seed = read_seed(file["seed"]);
   scheduling::validate(config.settings);
   config.conn_idle = reader.time("Permissions.ConnIdleMs");
-  config.most_open = static_cast<std::size_t>(std::max(0, reader.whole("Permissions.MaxOpen", 0)));
-  config.may_talk = reader.yes("Permissions.Peers");
+  config.max_open_requests =
+      static_cast<std::size_t>(std::max(0, reader.whole("Permissions.MaxOpen", 0)));
+  config.gossip_allowed = reader.yes("Permissions.Peers");
 }
 
 Config read_checked(std::string_view json, const Lookup& environment,
@@ -283,7 +284,7 @@
                   {"listen", config.listen},
                   {"ops", config.ops},
                   {"limits", file["limits"].toStyledString()}};
-  if (config.may_talk)
+  if (config.gossip_allowed)
     read_peers(file, config);
   if (file["known"].isObject() && !file["known"].empty())
     config.known = protocol::parse_endpoint_update(file["known"], config.words);
@@ -362,7 +363,7 @@
   }
 }
 
-void keep_numbers(const Config& now, Config& next) {
+void keep_indexes(const Config& now, Config& next) {
   renumber(next.settings.zone, keep_order(now.words.zones, next.words.zones));
   std::vector<std::size_t> kinds = keep_order(now.words.kinds, next.words.kinds);
   for (auto& job_class : next.settings.classes)
--- a/src/program/config.h
+++ b/src/program/config.h
@@ -18,12 +18,12 @@
   std::string ops;  // address for operators; empty: none
   std::size_t sockets = 1024;
   std::size_t memory_mb = 192;
-  std::size_t most_open = 0;  // max. open requests; 0: the settings name no limit
+  std::size_t max_open_requests = 0;  // max. open requests; 0: the settings name no limit
   scheduling::Duration conn_idle{0};
   scheduling::Settings settings;
   protocol::IdentifierTables words;
   std::optional<protocol::EndpointUpdate> known;
-  bool may_talk = false;           // with other dispatchers
+  bool gossip_allowed = false;     // with other dispatchers
   std::string peer_listen;         // address for datagrams; empty: no talk with other dispatchers
   std::vector<std::string> peers;  // addresses of all dispatchers, by their index
   // Settings that need a restart, as written in the file: a reload that changes one logs its name.
@@ -77,6 +77,6 @@
 // Gives the classes, tenants, zones and kinds of `next` the indexes they have in `now`, new ones
 // behind: open requests and learned state refer to them by index. A class that `next` does not name
 // any more keeps its index, marked as dropped.
-void keep_numbers(const Config& now, Config& next);
+void keep_indexes(const Config& now, Config& next);
 
 }  // namespace dispatcher::program
--- a/src/program/dispatcher_process.cpp
+++ b/src/program/dispatcher_process.cpp
@@ -121,7 +121,7 @@
     return hot_restart::contact_outgoing_process(local_socket_path_, {config_.name, config_.listen},
                                                  log_);
   } catch (const std::runtime_error& error) {
-    log_.line("upgrade", std::string("no other process can take over: ") + error.what());
+    log_.line("hot-restart", std::string("not available: ") + error.what());
     local_socket_path_.clear();
     return std::nullopt;
   }
@@ -158,7 +158,7 @@
   try {
     app_.fleet_socket()->exchange(fleet::read_keys_file(features_.fleet().key_file()));
     log_.line("keys", "read again");
-  } catch (const fleet::BadKeys& error) {
+  } catch (const fleet::KeyFileError& error) {
     log_.line("keys", std::string("the old ones are kept: ") + error.what());
   }
 }
@@ -215,9 +215,9 @@
   try {
     fleet_socket_.emplace(loop_.context(), fleet_options(inherited), deadlines_, clock_, log_,
                           std::move(inherited.socket));
-    app_.talk_to(*fleet_socket_);
+    app_.attach_gossip(*fleet_socket_);
   } catch (const std::runtime_error& error) {
-    log_.line("peers", std::string("serves on without news of the others: ") + error.what());
+    log_.line("peers", std::string("serves without load gossip: ") + error.what());
   }
 }
 
--- a/src/program/main.cpp
+++ b/src/program/main.cpp
@@ -17,7 +17,7 @@
 struct CommandLine {
   std::string features_path;
   std::string config_path;
-  std::string operators_address;
+  std::string admin_address;
   std::string log_format;  // empty: of the features file
   bool trace = false;
   bool fleet_as_json = false;
@@ -34,7 +34,7 @@
                   "the project's own settings, in protobuf text format")
       ->type_name("FILE");
   parser.add_flag("--trace", line.trace,
-                  "log each thing that happens to a command (testbed/fleet_table.py reads it)");
+                  "log each event of a request (testbed/fleet_table.py reads it)");
   parser
       .add_option("--log-format", line.log_format,
                   "plain or json; goes before log.format of the features file")
@@ -55,7 +55,7 @@
 void add_fleet_command(CLI::App& parser, CommandLine& line) {
   line.fleet =
       parser.add_subcommand("fleet", "print who of the fleet a dispatcher holds to be there");
-  line.fleet->add_option("--ops", line.operators_address, "its operators' address")
+  line.fleet->add_option("--ops", line.admin_address, "its operators' address")
       ->type_name("ADDRESS")
       ->required();
   line.fleet->add_flag("--json", line.fleet_as_json, "as it gives it");
@@ -74,7 +74,7 @@
 }
 
 // Reads the key file, too: one that cannot be used must not leave a member open to strangers, or
-// alone. Throws features::BadFeatures or fleet::BadKeys.
+// alone. Throws features::FeaturesError or fleet::KeyFileError.
 features::Features read_features(const std::string& path) {
   if (path.empty())
     return {};
@@ -85,11 +85,11 @@
 }
 
 void print_fleet(const CommandLine& line) {
-  program::show_fleet(line.operators_address, line.fleet_as_json);
+  program::show_fleet(line.admin_address, line.fleet_as_json);
   while (line.watch_interval_s > 0) {
     std::this_thread::sleep_for(std::chrono::duration<double>(line.watch_interval_s));
     std::puts("");
-    program::show_fleet(line.operators_address, line.fleet_as_json);
+    program::show_fleet(line.admin_address, line.fleet_as_json);
     std::fflush(stdout);
   }
 }
@@ -107,7 +107,7 @@
 void execute(const CommandLine& line) {
   features::Features features = read_features(line.features_path);
   if (!line.config_path.empty()) {
-    program::show_permits(
+    program::show_settings_summary(
         program::read_config_file(line.config_path, program::environment, transport::Duration(0)));
   }
   if (line.fleet->parsed())
@@ -121,7 +121,7 @@
 }  // namespace
 
 int main(int argc, char** argv) try {
-  CLI::App parser{"One order dispatcher; the platform's settings come with ROUTER_CONFIG."};
+  CLI::App parser{"One dispatcher; the platform's settings come with ROUTER_CONFIG."};
   CommandLine line;
   add_serve_options(parser, line);
   add_check_command(parser, line);
@@ -130,10 +130,10 @@
   CLI11_PARSE(parser, argc, argv);
   execute(line);
   return 0;
-} catch (const fleet::BadKeys& error) {  // its lines are complete, as editors read them
+} catch (const fleet::KeyFileError& error) {  // its lines are complete, as editors read them
   std::fprintf(stderr, "%s\n", error.what());
   return 1;
-} catch (const features::BadFeatures& error) {  // likewise
+} catch (const features::FeaturesError& error) {  // likewise
   std::fprintf(stderr, "%s\n", error.what());
   return 1;
 } catch (const std::exception& error) {
--- a/src/protocol/messages.h
+++ b/src/protocol/messages.h
@@ -21,7 +21,6 @@
 struct MessageError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
-using Refused = MessageError;  // former name, still used by src/program
 
 // The names in the settings, in the order of the scheduler's indices.
 struct IdentifierTables {
--- a/src/routing/ports.h
+++ b/src/routing/ports.h
@@ -54,7 +54,7 @@
 
 // An attempt of a request, counted from 0.
 struct AttemptRef {
-  RequestRef command;
+  RequestRef request;
   int attempt = 0;
   auto operator<=>(const AttemptRef&) const = default;
 };
@@ -65,7 +65,7 @@
 class WorkerPort {
  public:
   virtual ~WorkerPort() = default;
-  // `expires_at`: the client gives up. The upload is sent while it is received.
+  // `expires_at`: the client times out. The upload is sent while it is received.
   virtual void submit(AttemptRef attempt, const std::string& worker,
                       std::shared_ptr<const RequestPayload> payload,
                       scheduling::Time expires_at) = 0;
--- a/src/routing/request_table.h
+++ b/src/routing/request_table.h
@@ -26,7 +26,7 @@
   std::size_t job_class = 0;
   int max_attempts = 1;  // by the settings in force when it was admitted
   std::shared_ptr<const RequestPayload> payload;
-  transport::Time expires_at{};  // the client gives up
+  transport::Time expires_at{};  // the client times out
   bool answered = false;
   std::vector<Attempt> attempts;
   transport::Deadlines::Handle deadline;
--- a/src/routing/request_trace.cpp
+++ b/src/routing/request_trace.cpp
@@ -9,7 +9,8 @@
 
 // Words of the trace, in the order of scheduling::Outcome.
 constexpr std::array<const char*, 8> kOutcomeWords{
-    "success", "failure", "overloaded", "timed_out", "unreachable", "broken", "withdrawn", "void"};
+    "success",        "failure",          "rejected",  "timed_out",
+    "connect_failed", "connection_reset", "cancelled", "not_sent"};
 
 std::string with_outcome(const std::string& worker, scheduling::Outcome outcome) {
   return worker + " " + kOutcomeWords.at(static_cast<std::size_t>(outcome));
@@ -25,7 +26,7 @@
 
 void RequestTrace::health_checked(const std::string& worker, scheduling::Outcome outcome) const {
   if (sink_)
-    write("probed", 0, kNoAttempt, with_outcome(worker, outcome));
+    write("health_check", 0, kNoAttempt, with_outcome(worker, outcome));
 }
 
 void RequestTrace::write(std::string_view event, scheduling::RequestId id, int attempt,
--- a/src/routing/request_trace.h
+++ b/src/routing/request_trace.h
@@ -18,8 +18,8 @@
   // Null: off.
   void write_to(Sink sink) { sink_ = std::move(sink); }
 
-  void accepted(scheduling::RequestId id) const { write("taken", id, kNoAttempt, ""); }
-  // `how`: served, nack (rejected), failed, left (client disconnected) or given (released).
+  void accepted(scheduling::RequestId id) const { write("accepted", id, kNoAttempt, ""); }
+  // `how`: served, rejected, failed, disconnected (by the client) or released (to another process).
   void answered(scheduling::RequestId id, std::string_view how) const {
     write("answered", id, kNoAttempt, how);
   }
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -42,8 +42,8 @@
 
 // ---- Events ----
 
-Router::AdmissionResult Router::take(NewRequest incoming,
-                                     const std::function<void(RequestRef)>& on_admitted) {
+Router::AdmissionResult Router::admit(NewRequest incoming,
+                                      const std::function<void(RequestRef)>& on_admitted) {
   const scheduling::Request& request = incoming.request;
   if (table_.is_duplicate(request.id))
     return AdmissionResult::Duplicate;
@@ -58,7 +58,7 @@
                                                  .deadline = {}});
   if (!ref) {
     count_rejected(request.job_class);
-    return AdmissionResult::Full;
+    return AdmissionResult::TableFull;
   }
   if (on_request_accepted_)
     on_request_accepted_(request.id);
@@ -140,7 +140,7 @@
     OpenRequest* request = table_.find(ref);
     if (!request || request->answered)
       return;
-    trace_.answered(request->id, "given");
+    trace_.answered(request->id, "released");
     table_.mark_answered(*request);
     forget_open_attempts(ref, *request);
     run_scheduler([&](Scheduler& scheduler, Actions& actions) {
@@ -176,7 +176,7 @@
     case ActionKind::HealthCheck:
       return ports_.workers.check_health(std::string(action.worker));
     case ActionKind::Watch:
-      return ports_.names.watch();
+      return ports_.discovery.watch();
     case ActionKind::SetTimer:
       return set_timer(action.at);
     case ActionKind::Log:
@@ -205,7 +205,7 @@
   // The scheduler fails a request with an attempt that may run. If no attempt has begun it can be
   // rejected instead, which permits the client to retry.
   bool rejected = action.kind == ActionKind::Reject || !may_have_run(*ref, *request);
-  trace_.answered(action.id, rejected ? "nack" : "failed");
+  trace_.answered(action.id, rejected ? "rejected" : "failed");
   if (rejected) {
     reject(*ref, *request, action.retry_after);
   } else {
@@ -239,7 +239,7 @@
   if (!request || request->answered)
     return;
   scheduling::RequestId id = request->id;
-  trace_.answered(id, "left");
+  trace_.answered(id, "disconnected");
   table_.mark_answered(*request);
   run_scheduler([&](Scheduler& scheduler, Actions& actions) {
     scheduler.on_client_disconnected(clock_.now(), id, actions);
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -42,24 +42,23 @@
   struct Ports {
     ClientPort& clients;
     WorkerPort& workers;
-    DiscoveryPort& names;
-    GossipPort* peers = nullptr;  // null: no gossip
+    DiscoveryPort& discovery;
+    GossipPort* gossip = nullptr;  // null: no gossip
   };
   using Log = std::function<void(const std::string&)>;
 
   enum class AdmissionResult {
     Admitted,
-    Full,      // too many requests are open
-    Duplicate  // a request with this id is open, or ended recently
+    TableFull,  // too many requests are open
+    Duplicate   // a request with this id is open, or ended recently
   };
-  using Taking = AdmissionResult;  // earlier name
 
   // What another process needs to go on with a request.
   struct ReleasableRequest {
     scheduling::RequestId id = 0;
     std::size_t job_class = 0;
-    transport::Time ends{};            // the client gives up
-    std::vector<std::string> workers;  // that have accepted the job
+    transport::Time ends{};            // the client times out
+    std::vector<std::string> workers;  // that have accepted it
   };
 
   // The references must outlive the router.
@@ -67,7 +66,7 @@
          transport::Deadlines& deadlines, Ports ports, operations::Metrics& metrics, Log log);
 
   // Call before start().
-  void talk_to(GossipPort& peers) { ports_.peers = &peers; }
+  void attach_gossip(GossipPort& peers) { ports_.gossip = &peers; }
   // A trace line for each event of a request; call before start().
   void trace(Log sink) { trace_.write_to(std::move(sink)); }
 
@@ -78,7 +77,7 @@
 
   // `on_admitted` receives the request's reference before anything is decided, as the answer may
   // come inside this call.
-  AdmissionResult take(NewRequest request, const std::function<void(RequestRef)>& on_admitted);
+  AdmissionResult admit(NewRequest request, const std::function<void(RequestRef)>& on_admitted);
   void client_gone(RequestRef request);
   void attempt_ended(AttemptRef attempt, scheduling::Outcome outcome,
                      const scheduling::LoadReport& report, Reply reply = {});
--- a/src/routing/router_attempts.cpp
+++ b/src/routing/router_attempts.cpp
@@ -77,7 +77,7 @@
 }
 
 void Router::end_attempt(AttemptRef ref, Outcome outcome, const LoadReport& report, Reply reply) {
-  OpenRequest* request = table_.find(ref.command);
+  OpenRequest* request = table_.find(ref.request);
   bool open = request && request->is_open(ref.attempt);
   bool serves = open && outcome == Outcome::Success && !request->answered;
   if (reply.rest && !serves)
@@ -90,13 +90,13 @@
   count_attempts(attempt.worker, -1);
   trace_.ended(request->id, ref.attempt, attempt.worker, outcome);
   if (serves) {
-    answer_served(ref.command, *request, std::move(reply));
+    answer_served(ref.request, *request, std::move(reply));
   } else if (!request->answered && request->cannot_be_resent()) {
-    answer_unrepeatable(ref.command, *request, outcome);
+    answer_unrepeatable(ref.request, *request, outcome);
   }
   std::string worker = attempt.worker;  // the request may be removed during the call
   report_attempt_end({request->id, ref.attempt, request->answered, worker, outcome, report});
-  close_if_answered(ref.command);
+  close_if_answered(ref.request);
 }
 
 void Router::answer_served(RequestRef ref, OpenRequest& request, Reply reply) {
@@ -180,17 +180,17 @@
   const OpenRequest* request = table_.find(ref);
   if (!request || request->answered)
     return;
-  log_("a command reached its deadline without the module's answer");
+  log_("a request reached its deadline without the scheduler's answer");
   fail_or_reject(ref, *request);
   drop_client(ref);
 }
 
 void Router::count_attempts(const std::string& worker, int change) {
-  if (!ports_.peers)
+  if (!ports_.gossip)
     return;
   int& count = open_attempts_[worker];
   count += change;
-  ports_.peers->announce(worker, count);
+  ports_.gossip->announce(worker, count);
   if (count == 0)
     open_attempts_.erase(worker);
 }
--- a/src/scheduling/outlier_ejection.cpp
+++ b/src/scheduling/outlier_ejection.cpp
@@ -79,7 +79,7 @@
   worker.failure_score_at = now;
   if (before >= kEjectionScore || worker.failure_score < kEjectionScore)
     return;
-  actions_.log("worker " + worker.id + " taken as down: " + std::string(symptom));
+  actions_.log("worker " + worker.id + " ejected: " + std::string(symptom));
   worker.recovery_probe_backoff = kRecoveryProbeInterval;
   postpone_recovery_probe(worker, now);
   // One lost connection is not a lost worker: it may show life at once, but not each time.
@@ -93,7 +93,7 @@
   if (worker.failure_score <= 0)
     return;
   if (ejected(worker, now)) {
-    actions_.log("worker " + worker.id + " shows life");
+    actions_.log("worker " + worker.id + " recovered");
     // Warming up until shown otherwise: it may have been restarted.
     if (!slow_start_.warming_up(worker, now) &&
         now - worker.ejected_at >= kRecoveryProbeInterval / 2)
@@ -120,13 +120,13 @@
       }
       break;
     case Outcome::ConnectFailed:
-      add_failure(worker, kConnectionScore, "unreachable", kMaximumScore, now);
+      add_failure(worker, kConnectionScore, "connect failed", kMaximumScore, now);
       break;
     case Outcome::ConnectionReset:
-      add_failure(worker, kConnectionScore, "connection broken", kMaximumScore, now);
+      add_failure(worker, kConnectionScore, "connection reset", kMaximumScore, now);
       break;
     case Outcome::TimedOut:
-      add_failure(worker, kTimeoutScore, "time-out", kMaximumScore, now);
+      add_failure(worker, kTimeoutScore, "timeout", kMaximumScore, now);
       break;
     case Outcome::Rejected:
     case Outcome::Cancelled:
@@ -153,7 +153,7 @@
   if (outcome == Outcome::Rejected || outcome == Outcome::NotSent ||
       now - worker.last_heard < kSignOfLifeFreshness)
     return;
-  add_failure(worker, kFailedCheckScore, "probe failed", kMaximumScore, now);
+  add_failure(worker, kFailedCheckScore, "health check failed", kMaximumScore, now);
 }
 
 void OutlierEjection::on_error_rate(Worker& worker, double errors_per_s, Duration slot_time,
--- a/src/scheduling/request_lifecycle.cpp
+++ b/src/scheduling/request_lifecycle.cpp
@@ -112,7 +112,7 @@
     state.late = true;
     dispatch_or_enqueue(state, now);
   } else if (may_reject(state)) {
-    actions_.log("refused: a held job can no longer be in time");
+    actions_.log("shed: a pending request can no longer be in time");
     answer(state);
   } else if (!state.any_open()) {
     answer(state);
--- a/src/settings/settings_summary.cpp
+++ b/src/settings/settings_summary.cpp
@@ -183,8 +183,9 @@
 }
 
 std::string describe_limits(const Place& place) {
-  std::string open_requests = place.most_open > 0 ? to_text(place.most_open) + " open orders"
-                                                  : "as many open orders as descriptors allow";
+  std::string open_requests = place.max_open_requests > 0
+                                  ? to_text(place.max_open_requests) + " open orders"
+                                  : "as many open orders as descriptors allow";
   return to_text(place.sockets) + " descriptors, " + to_text(place.memory_mb) + " MB, " +
          open_requests;
 }
--- a/src/settings/settings_summary.h
+++ b/src/settings/settings_summary.h
@@ -14,10 +14,10 @@
 struct Place {
   std::size_t sockets = 0;
   std::size_t memory_mb = 0;
-  bool peers_allowed = false;  // dispatchers may exchange messages
-  bool listens = false;        // an address for these is given
-  std::size_t peers = 0;       // addresses of dispatchers, this one included
-  std::size_t most_open = 0;   // limit of open requests; 0: none
+  bool peers_allowed = false;         // dispatchers may exchange messages
+  bool listens = false;               // an address for these is given
+  std::size_t peers = 0;              // addresses of dispatchers, this one included
+  std::size_t max_open_requests = 0;  // limit of open requests; 0: none
 };
 
 // A table for people, several lines with their ends. Times are in milliseconds.
--- a/src/streaming/memory_budget.cpp
+++ b/src/streaming/memory_budget.cpp
@@ -4,30 +4,30 @@
 
 namespace dispatcher::streaming {
 
-Budget::Budget(std::size_t ceiling, std::size_t window)
+MemoryBudget::MemoryBudget(std::size_t ceiling, std::size_t window)
     : total_(std::max<std::size_t>(1, ceiling / kChunkBytes)),
       window_(std::max<std::size_t>(1, window / kChunkBytes)) {}
 
-void Budget::use(std::size_t chunks) {
+void MemoryBudget::use(std::size_t chunks) {
   used_ += chunks;
   most_used_ = std::max(most_used_, used_);
 }
 
-std::optional<Budget::Lane> Budget::open() {
+std::optional<MemoryBudget::Lane> MemoryBudget::open() {
   if (!can_open(1))
     return std::nullopt;
   use(1);
   return Lane(*this);
 }
 
-Budget::Lane::~Lane() {
+MemoryBudget::Lane::~Lane() {
   if (budget_)
     budget_->used_ -= std::max<std::size_t>(held_, 1);
 }
 
 // With h held and f free, one more is allowed while h is less than f. For several at once, the
 // answer is the largest k for which h + k - 1 < f - (k - 1): each one taken leaves one less free.
-std::size_t Budget::Lane::may_take() const {
+std::size_t MemoryBudget::Lane::may_take() const {
   std::size_t first = held_ == 0 ? 1 : 0;  // owned since the lane was opened
   std::size_t held = held_ + first;
   std::size_t free = budget_->total_ - std::min(budget_->total_, budget_->used_);
@@ -36,13 +36,13 @@
   return first + std::min(shared, left_of_window);
 }
 
-void Budget::Lane::take() {
+void MemoryBudget::Lane::take() {
   if (held_ > 0)
     budget_->use(1);
   ++held_;
 }
 
-void Budget::Lane::give() {
+void MemoryBudget::Lane::give() {
   --held_;
   if (held_ > 0)
     --budget_->used_;
--- a/src/streaming/memory_budget.h
+++ b/src/streaming/memory_budget.h
@@ -17,12 +17,12 @@
 constexpr std::size_t kChunkBytes = 16 << 10;
 
 // Not thread-safe. Outlives its lanes.
-class Budget {
+class MemoryBudget {
  public:
   // `ceiling`: bytes of all lanes; `window`: maximum bytes of one. Each is at least one chunk.
-  Budget(std::size_t ceiling, std::size_t window);
-  Budget(const Budget&) = delete;
-  Budget& operator=(const Budget&) = delete;
+  MemoryBudget(std::size_t ceiling, std::size_t window);
+  MemoryBudget(const MemoryBudget&) = delete;
+  MemoryBudget& operator=(const MemoryBudget&) = delete;
 
   // Returns what it holds when it is destroyed. All counts are in chunks.
   class Lane {
@@ -45,9 +45,9 @@
     void give();
 
    private:
-    friend class Budget;
-    explicit Lane(Budget& budget) : budget_(&budget) {}
-    Budget* budget_;
+    friend class MemoryBudget;
+    explicit Lane(MemoryBudget& budget) : budget_(&budget) {}
+    MemoryBudget* budget_;
     std::size_t held_ = 0;
   };
 
@@ -59,7 +59,7 @@
   // Chunks, including those owned by lanes and not filled yet.
   std::size_t used() const { return used_; }
   std::size_t total() const { return total_; }
-  std::size_t most_used() const { return most_used_; }
+  std::size_t peak_used() const { return most_used_; }
 
  private:
   void use(std::size_t chunks);
--- a/src/streaming/pipe.cpp
+++ b/src/streaming/pipe.cpp
@@ -5,7 +5,7 @@
 
 namespace dispatcher::streaming {
 
-Pipe::Pipe(Budget::Lane lane, std::size_t replay_bytes)
+Pipe::Pipe(MemoryBudget::Lane lane, std::size_t replay_bytes)
     : lane_(std::move(lane)), replay_bytes_(replay_bytes), keeps_written_(replay_bytes > 0) {}
 
 // Calls a copy: the callback may replace itself.
--- a/src/streaming/pipe.h
+++ b/src/streaming/pipe.h
@@ -21,7 +21,7 @@
 // Not thread-safe. A callback may end the source or the sink, and may set another callback.
 class Pipe {
  public:
-  explicit Pipe(Budget::Lane lane, std::size_t replay_bytes = 0);
+  explicit Pipe(MemoryBudget::Lane lane, std::size_t replay_bytes = 0);
 
   // ---- Source ----
   // How many bytes append() should bring at most, for now.
@@ -73,7 +73,7 @@
   void release_written();
   static void notify(const std::function<void()>& callback);
 
-  Budget::Lane lane_;
+  MemoryBudget::Lane lane_;
   std::size_t replay_bytes_;
   std::deque<std::shared_ptr<Chunk>> chunks_;
   // Offsets in the body, bytes.
--- a/src/transport/gio_accept.cpp
+++ b/src/transport/gio_accept.cpp
@@ -34,7 +34,7 @@
       !g_socket_listen(listener_.get(), error.out()))
     throw std::runtime_error("cannot listen on " + address + ": " + error.text());
   acceptor_ = &acceptor;
-  accept_from_now_on(true);
+  set_accepting(true);
 }
 
 void GioNetwork::share_listener(Descriptor listening, Acceptor& acceptor) {
@@ -51,7 +51,7 @@
   return listener_ ? Descriptor::copy_of(g_socket_get_fd(listener_.get())) : Descriptor();
 }
 
-void GioNetwork::accept_from_now_on(bool on) {
+void GioNetwork::set_accepting(bool on) {
   accepting_ = on;
   if (on)
     return resume_accepting();
--- a/src/transport/gio_network.cpp
+++ b/src/transport/gio_network.cpp
@@ -46,7 +46,7 @@
 }  // namespace
 
 GioNetwork::GioNetwork(GMainContext* context, Deadlines& deadlines, const Clock& clock,
-                       Limits limits, Complain complain)
+                       Limits limits, ErrorReporter complain)
     : context_(context),
       deadlines_(deadlines),
       clock_(clock),
--- a/src/transport/gio_network.h
+++ b/src/transport/gio_network.h
@@ -27,21 +27,21 @@
     std::size_t accepted;   // connections on the listening address
     std::size_t connected;  // connections opened by connect()
   };
-  using Complain = std::function<void(const std::string&)>;
+  using ErrorReporter = std::function<void(const std::string&)>;
 
   GioNetwork(GMainContext* context, Deadlines& deadlines, const Clock& clock, Limits limits,
-             Complain complain);
+             ErrorReporter complain);
   ~GioNetwork() override;
 
   // ---- Listening ----
   // `shared`: a second process of this dispatcher may listen on the address too. Throws
   // std::runtime_error.
   void listen(const std::string& address, Acceptor& acceptor, bool shared = false);
-  // Listens on the socket of another process, from accept_from_now_on(true) on. Throws
+  // Listens on the socket of another process, from set_accepting(true) on. Throws
   // std::runtime_error.
   void share_listener(Descriptor listening, Acceptor& acceptor);
   Descriptor listener() const;  // of the listening socket, for another process
-  void accept_from_now_on(bool on);
+  void set_accepting(bool on);
   void limit(Limits limits);  // at most the limits of the constructor
   std::size_t accepted() const { return accepted_count_; }
   // Serves a connection that another process accepted. Nothing: the table is full.
@@ -104,7 +104,7 @@
   Deadlines& deadlines_;
   const Clock& clock_;
   Limits limits_;
-  Complain complain_;
+  ErrorReporter complain_;
   SlotTable<Connection> table_;
   std::size_t accepted_count_ = 0;
   std::size_t connected_count_ = 0;
--- a/testbed/fleet_table.py
+++ b/testbed/fleet_table.py
@@ -6,23 +6,24 @@
 FOLDER holds one .log a dispatcher, each line `SECONDS KIND: TEXT`, of programs started with --trace. The first form
 prints a row for each second, the second one for each worker. Counts are sums over all dispatchers:
 
-  taken served nack failed left   requests that arrived, and how they ended (nack: rejected; left: the client
-                                  disconnected first)
-  open                            requests not answered at the end of the second
-  held                            of these, those without an open attempt
-  sent, and the ends of attempts  unreach(able), broken, overload(ed), failure, withdrawn
-  bad                             attempts at a worker that some dispatcher had found unreachable or broken before
-  probes answered, failed         health checks of workers
-  calls, lists, lines, lost       of discovery: polls, answers, entries in them, polls that failed
-  start                           dispatchers that started
+  accepted served rejected failed disconnected   requests that arrived, and how they ended (disconnected: by the client)
+  open                       requests not answered at the end of the second
+  pending                    of these, those without an open attempt
+  sent, and the outcomes     attempts: success failure rejected_attempts connect_failed connection_reset cancelled
+  bad                        attempts at a worker that failed to connect or reset a connection of some dispatcher before
+  health_checks, failed_checks   health checks of workers
+  polls lists entries failed_polls   of discovery: calls, answers, entries in them, calls that failed
+  start                      dispatchers that started
 """
 import argparse
 import collections
 import pathlib
 
-SECOND_COLUMNS = ("start taken served nack failed left open held sent success failure overloaded unreachable broken "
-                  "withdrawn bad probes lost_probes calls lists lines lost").split()
-WORKER_COLUMNS = "sent success failure overloaded unreachable broken withdrawn probes".split()
+SECOND_COLUMNS = ("start accepted served rejected failed disconnected open pending sent success failure rejected_attempts "
+                  "connect_failed connection_reset cancelled bad health_checks failed_checks polls lists entries "
+                  "failed_polls").split()
+WORKER_COLUMNS = ("sent success failure rejected_attempts connect_failed connection_reset cancelled "
+                  "health_checks").split()
 
 
 def read_events(folder):
@@ -44,7 +45,7 @@
         self.workers = collections.defaultdict(collections.Counter)
         self.open_requests = {}  # arrival by (dispatcher, request)
         self.open_attempts = collections.Counter()  # by (dispatcher, request)
-        self.known_bad = set()  # workers that some dispatcher found unreachable or broken
+        self.known_bad = set()  # workers with a failed connect or a reset connection
         self.last_second = None
 
     def add(self, seconds, dispatcher, words):
@@ -54,8 +55,8 @@
         kind = words[0]
         if kind == "start:":
             self.add_start(row, dispatcher)
-        elif kind == "names:" and "failed:" in words:
-            row["lost"] += 1
+        elif kind == "discovery:" and "failed:" in words:
+            row["failed_polls"] += 1
         elif kind == "trace:":
             self.add_trace(row, seconds, dispatcher, words[1:])
 
@@ -64,7 +65,7 @@
             for finished in range(self.last_second, second):
                 row = self.seconds[finished]
                 row["open"] = len(self.open_requests)
-                row["held"] = sum(1 for key in self.open_requests if self.open_attempts[key] == 0)
+                row["pending"] = sum(1 for key in self.open_requests if self.open_attempts[key] == 0)
         self.last_second = second
 
     def add_start(self, row, dispatcher):
@@ -74,16 +75,16 @@
 
     def add_trace(self, row, seconds, dispatcher, words):
         event = words[0]
-        if event == "call":
-            row["calls"] += 1
+        if event == "poll":
+            row["polls"] += 1
             return
         if event == "list":
             row["lists"] += 1
-            row["lines"] += int(words[1])
+            row["entries"] += int(words[1])
             return
         key, details = (dispatcher, words[1]), words[3:]
-        if event == "taken":
-            row["taken"] += 1
+        if event == "accepted":
+            row["accepted"] += 1
             self.open_requests[key] = seconds
         elif event == "answered":
             row[details[0]] += 1
@@ -93,10 +94,10 @@
             self.add_attempt(row, key, details[0])
         elif event == "ended":
             self.add_attempt_end(row, key, details[0], details[1])
-        elif event == "probed":
-            row["probes"] += 1
-            row["lost_probes"] += details[1] != "success"
-            self.workers[details[0]]["probes"] += 1
+        elif event == "health_check":
+            row["health_checks"] += 1
+            row["failed_checks"] += details[1] != "success"
+            self.workers[details[0]]["health_checks"] += 1
 
     def add_attempt(self, row, key, worker):
         row["sent"] += 1
@@ -105,10 +106,11 @@
         self.open_attempts[key] += 1
 
     def add_attempt_end(self, row, key, worker, outcome):
-        row[outcome] += 1
-        self.workers[worker][outcome] += 1
+        column = "rejected_attempts" if outcome == "rejected" else outcome
+        row[column] += 1
+        self.workers[worker][column] += 1
         self.open_attempts[key] -= 1
-        if outcome in ("unreachable", "broken"):
+        if outcome in ("connect_failed", "connection_reset"):
             self.known_bad.add(worker)
         elif outcome == "success":
             self.known_bad.discard(worker)
--- a/testbed/processes/process_fleet.cpp
+++ b/testbed/processes/process_fleet.cpp
@@ -234,7 +234,7 @@
   }
   request.extra_headers =
       "X-Weight-Hint: " + std::to_string(kMicrosecondsPerMs * setup_.work_ms) + "\r\n";
-  ClientResponse response = hand_in(address, request);
+  ClientResponse response = submit_request(address, request);
   bool complete = response.whole && !response.unread;
   bool soon_enough = setup_.objective_ms == 0 || response.ms <= setup_.objective_ms;
   std::lock_guard lock(mutex_);
--- a/testbed/stubs/dispatcher_process.cpp
+++ b/testbed/stubs/dispatcher_process.cpp
@@ -196,7 +196,7 @@
   throw std::runtime_error("the program does not become ready:\n" + log());
 }
 
-bool DispatcherProcess::start_beside() {
+bool DispatcherProcess::start_hot_restart() {
   outgoing_pid_ = std::exchange(pid_, -1);
   outgoing_admin_address_ = admin_address_;
   try {
@@ -216,7 +216,7 @@
   pid_ = -1;
 }
 
-void DispatcherProcess::kill_now() {
+void DispatcherProcess::kill_newest() {
   kill_and_wait(pid_);
   pid_ = std::exchange(outgoing_pid_, -1);
   if (pid_ > 0) {
@@ -230,7 +230,7 @@
   return terminate_and_wait(pid_);
 }
 
-int DispatcherProcess::end_old() {
+int DispatcherProcess::terminate_outgoing() {
   return terminate_and_wait(outgoing_pid_);
 }
 
--- a/testbed/stubs/dispatcher_process.h
+++ b/testbed/stubs/dispatcher_process.h
@@ -31,7 +31,7 @@
 
   const std::string& address() const { return address_; }
   const std::string& operators() const { return admin_address_; }
-  const std::string& old_operators() const { return outgoing_admin_address_; }
+  const std::string& outgoing_admin_address() const { return outgoing_admin_address_; }
   // Holds the configuration and the log; its "tmp" is the program's $TMPDIR.
   const std::string& folder() const { return folder_; }
   int pid() const { return pid_; }
@@ -46,17 +46,17 @@
   // Ends with SIGTERM; returns the exit code.
   int end();
   // The same for the outgoing process of a hot restart.
-  int end_old();
+  int terminate_outgoing();
   // Ends with SIGKILL.
   void crash();
   // Starts the program after a crash or an end.
   void start_again() { start(Readiness::ClientAddress); }
   // Starts the incoming process of a hot restart. False when it ended by itself; the running
   // process then stays the only one.
-  bool start_beside();
+  bool start_hot_restart();
   // Ends the newest process with SIGKILL. The outgoing one takes its place; without one, the
   // program is started again.
-  void kill_now();
+  void kill_newest();
 
  private:
   // Where a started process is asked whether it is ready.
--- a/testbed/stubs/stub_client.cpp
+++ b/testbed/stubs/stub_client.cpp
@@ -93,7 +93,7 @@
 
 }  // namespace
 
-ClientResponse hand_in(const std::string& address, const ClientRequest& request) {
+ClientResponse submit_request(const std::string& address, const ClientRequest& request) {
   auto start = Clock::now();
   bool rate_limited = request.rate_up != 0 || request.rate_down != 0;
   int descriptor = BlockingConnection::dial(address, rate_limited ? kRateLimitedBufferBytes : 0);
@@ -116,7 +116,7 @@
 
 PersistentClient::~PersistentClient() = default;
 
-ClientResponse PersistentClient::hand_in(const ClientRequest& request) {
+ClientResponse PersistentClient::submit_request(const ClientRequest& request) {
   return exchange(connection_->socket, request, Clock::now());
 }
 
--- a/testbed/stubs/stub_client.h
+++ b/testbed/stubs/stub_client.h
@@ -38,14 +38,14 @@
 };
 
 // Sends one request on a connection of its own. Blocks until the response is complete.
-ClientResponse hand_in(const std::string& address, const ClientRequest& request);
+ClientResponse submit_request(const std::string& address, const ClientRequest& request);
 
 // A client that keeps its connection. Once that has ended, responses have the status 0.
 class PersistentClient {
  public:
   explicit PersistentClient(const std::string& address);
   ~PersistentClient();
-  ClientResponse hand_in(const ClientRequest& request);
+  ClientResponse submit_request(const ClientRequest& request);
   // Sends raw bytes, of an incomplete request for example.
   void begin(const std::string& text);
 
--- a/tests/features/features_test.cpp
+++ b/tests/features/features_test.cpp
@@ -4,12 +4,12 @@
 #include <catch2/catch.hpp>
 
 TEST_CASE("a features file: every fault with its place, and nothing read by half") {
-  using dispatcher::features::BadFeatures;
+  using dispatcher::features::FeaturesError;
   using dispatcher::features::read_features;
   auto fault = [](const std::string& text) -> std::string {
     try {
       read_features(text, "f");
-    } catch (const BadFeatures& e) {
+    } catch (const FeaturesError& e) {
       return e.what();
     }
     return "";
@@ -24,5 +24,5 @@
   CHECK(fault("streaming { stall_ms: 500 stall_ms: 600 }").starts_with("f:1:"));
   CHECK(fault("streaming {").starts_with("f:1:"));
   CHECK(fault(std::string("\0\xff", 2)).starts_with("f:1:"));
-  CHECK_THROWS_AS(dispatcher::features::read_features_file("/nowhere"), BadFeatures);
+  CHECK_THROWS_AS(dispatcher::features::read_features_file("/nowhere"), FeaturesError);
 }
--- a/tests/fleet/load_gossip_test.cpp
+++ b/tests/fleet/load_gossip_test.cpp
@@ -18,7 +18,7 @@
 // The first worker that dispatcher `self` is near to.
 std::string near_worker(int self) {
   for (int i = 0;; ++i) {
-    auto near = near_to(worker(i), kFleet);
+    auto near = neighborhood_of(worker(i), kFleet);
     if (std::count(near.begin(), near.end(), self))
       return worker(i);
   }
@@ -59,7 +59,7 @@
 TEST_CASE("as many dispatchers are near to each worker, and few workers near to each") {
   std::map<int, int> of_each;
   for (int i = 0; i < 600; ++i) {
-    auto near = near_to(worker(i), kFleet);
+    auto near = neighborhood_of(worker(i), kFleet);
     REQUIRE(std::set<int>(near.begin(), near.end()).size() == 8);
     for (int d : near)
       ++of_each[d];
@@ -68,7 +68,7 @@
     CHECK(of_each[d] > 20);
     CHECK(of_each[d] < 80);
   }
-  CHECK(near_to("s-1", 3).size() == 3);  // in a small fleet all are near
+  CHECK(neighborhood_of("s-1", 3).size() == 3);  // in a small fleet all are near
   LoadGossip alone(0, 1);
   Heard heard;
   alone.list({"s-1"}, heard.changed);
@@ -209,7 +209,8 @@
   Heard heard;
   a.list(all, heard.changed);
   for (const std::string& w : all) {  // it claims 15 at each, whether it is near or not
-    LoadGossip twin(near_to(w, kFleet)[0] == 0 ? near_to(w, kFleet)[1] : near_to(w, kFleet)[0],
+    LoadGossip twin(neighborhood_of(w, kFleet)[0] == 0 ? neighborhood_of(w, kFleet)[1]
+                                                       : neighborhood_of(w, kFleet)[0],
                     kFleet);
     Heard unused;
     twin.list({w}, unused.changed);
@@ -218,5 +219,5 @@
   int believed = 0;
   for (const auto& [w, n] : heard.jobs)
     believed += n;
-  CHECK(believed == kMostOfOne);
+  CHECK(believed == kMaxJobsPerSender);
 }
--- a/tests/fleet/membership_view_test.cpp
+++ b/tests/fleet/membership_view_test.cpp
@@ -328,7 +328,7 @@
     }
     other.take(Time(Duration(i)), at(2 + static_cast<int>(random() % 3)), checked(body));
     loads.take(Time(Duration(i)), random() % 4, body,
-               [](const std::string&, int jobs) { REQUIRE(jobs <= kMostThere); });
+               [](const std::string&, int jobs) { REQUIRE(jobs <= kMaxJobsPerWorker); });
     if (i % 50 == 0)
       other.tick(Time(Duration(i)));
   }
--- a/tests/fleet/message_authenticator_test.cpp
+++ b/tests/fleet/message_authenticator_test.cpp
@@ -138,7 +138,7 @@
     try {
       read_keys_file(path);
       return std::string("none");
-    } catch (const BadKeys& e) {
+    } catch (const KeyFileError& e) {
       return std::string(e.what()).substr(path.size());
     }
   };
--- a/tests/fuzz/datagrams.cpp
+++ b/tests/fuzz/datagrams.cpp
@@ -43,7 +43,7 @@
 void loads(std::string_view in) {
   LoadGossip l(0, 3);
   auto changed = [](const std::string&, int jobs) {
-    must(jobs >= 0 && jobs <= kMostThere);
+    must(jobs >= 0 && jobs <= kMaxJobsPerWorker);
   };
   l.list({"s-1", "s-2"}, changed);
   l.take(Time{}, 1, in, changed);
--- a/tests/hot_restart/hot_restart_test.cpp
+++ b/tests/hot_restart/hot_restart_test.cpp
@@ -283,7 +283,7 @@
       Regular client(s.dispatcher.address());
       for (int n = 0; !over; ++n) {
         Order o = s.order("news=1&work=" + std::to_string(1 + (n * 7 + i * 13) % 40));
-        Answer a = i < 6 ? client.hand_in(o) : hand_in(s.dispatcher.address(), o);
+        Answer a = i < 6 ? client.submit_request(o) : submit_request(s.dispatcher.address(), o);
         ++(a.status == 200 && a.whole && a.body == pattern_sha(0, 100) ? served : other);
       }
     });
@@ -299,11 +299,11 @@
   for (int round = 0; round < 3; ++round) {
     int before = served;
     s.until([&] { return served > before + 100; });
-    REQUIRE(s.dispatcher.start_beside());
+    REQUIRE(s.dispatcher.start_hot_restart());
     before = served;
     s.until([&] { return served > before + 50; });
-    keep(s.dispatcher.old_operators());
-    CHECK(s.dispatcher.end_old() == 0);
+    keep(s.dispatcher.outgoing_admin_address());
+    CHECK(s.dispatcher.terminate_outgoing() == 0);
   }
   over = true;
   for (std::thread& t : clients)
@@ -323,24 +323,24 @@
   Regular half(s.dispatcher.address());
   Regular silent(s.dispatcher.address());
   Regular busy(s.dispatcher.address());
-  CHECK(half.hand_in(s.order()).status == 200);
+  CHECK(half.submit_request(s.order()).status == 200);
   half.begin("POST /api?news=1 HTTP/1.1\r\nX-Correlation-Id: 00000000000f0001\r\nX-Service-Cl");
   // Its job begins at the old process and ends after the change; the worker calls the address
   // that both share.
-  std::thread slow([&] { CHECK(busy.hand_in(s.order("news=1&work=1500")).status == 200); });
+  std::thread slow([&] { CHECK(busy.submit_request(s.order("news=1&work=1500")).status == 200); });
   s.until(
       [&] { return s.stats(s.dispatcher.operators()).figure("dispatcher.open_requests") == 1; });
-  REQUIRE(s.dispatcher.start_beside());
+  REQUIRE(s.dispatcher.start_hot_restart());
   CHECK(s.stats(s.dispatcher.operators()).figure("dispatcher.open_requests") == 0);
   half.begin(
       "ass: place-order\r\nX-Account: lanting-bento\r\nX-Time-Left-Ms: 5000\r\nContent-Length: "
       "4\r\n\r\nhe");
   half.begin("lf");
   s.until([&] { return s.begun().contains("00000000000f0001"); });
-  CHECK(silent.hand_in(s.order()).status == 200);
-  CHECK(s.dispatcher.end_old() == 0);
+  CHECK(silent.submit_request(s.order()).status == 200);
+  CHECK(s.dispatcher.terminate_outgoing() == 0);
   slow.join();
-  CHECK(busy.hand_in(s.order()).status == 200);
+  CHECK(busy.submit_request(s.order()).status == 200);
 }
 
 TEST_CASE("a job that outlives its process is answered by the next") {
@@ -349,14 +349,14 @@
   Order order = s.order("news=1&late=5000");
   order.time_left_ms = 20'000;
   std::thread slow([&] {
-    Answer a = client.hand_in(order);
+    Answer a = client.submit_request(order);
     CHECK(a.status == 200);
     CHECK(a.body == pattern_sha(0, 100));
-    CHECK(client.hand_in(s.order()).status == 200);  // on the same connection
+    CHECK(client.submit_request(s.order()).status == 200);  // on the same connection
   });
   s.until([&] { return s.begun().size() == 1; });
-  REQUIRE(s.dispatcher.start_beside());
-  CHECK(s.dispatcher.end_old() == 0);
+  REQUIRE(s.dispatcher.start_hot_restart());
+  CHECK(s.dispatcher.terminate_outgoing() == 0);
   CHECK(s.stats(s.dispatcher.operators()).figure("dispatcher.open_requests") == 1);
   slow.join();
   CHECK(s.stats(s.dispatcher.operators()).figure(kServed) == 2);
@@ -374,7 +374,7 @@
   std::thread orders([&] {
     Regular client(s.dispatcher.address());
     while (!over)
-      ++(client.hand_in(s.order()).status == 200 ? served : other);
+      ++(client.submit_request(s.order()).status == 200 ? served : other);
   });
   for (int round = 0; round < 3; ++round) {
     int before = served;
@@ -385,17 +385,18 @@
       while (!up)
         kill(old, SIGHUP), std::this_thread::sleep_for(std::chrono::milliseconds(1));
     });
-    bool started = s.dispatcher.start_beside();
+    bool started = s.dispatcher.start_hot_restart();
     kill(s.dispatcher.pid(), SIGHUP);
     up = true;
     signals.join();
     REQUIRE(started);
-    for (const std::string* at : {&s.dispatcher.operators(), &s.dispatcher.old_operators()})
+    for (const std::string* at :
+         {&s.dispatcher.operators(), &s.dispatcher.outgoing_admin_address()})
       s.until([&] { return s.stats(*at).figure("dispatcher.cfg_accepted") > 0; });
     before = served;
     s.until([&] { return served > before + 20; });
     CHECK(s.stats(s.dispatcher.operators()).figure("dispatcher.cfg_invalid") == 0);
-    CHECK(s.dispatcher.end_old() == 0);
+    CHECK(s.dispatcher.terminate_outgoing() == 0);
   }
   over = true;
   orders.join();
@@ -407,64 +408,65 @@
 TEST_CASE("an order worker that is out by hand stays out over an upgrade") {
   Scene s;
   CHECK(call(s.dispatcher.operators(), "POST", "/admin/cordon?id=s-1").status == 200);
-  REQUIRE(s.dispatcher.start_beside());
+  REQUIRE(s.dispatcher.start_hot_restart());
   for (int i = 0; i < 30; ++i)
-    CHECK(hand_in(s.dispatcher.address(), s.order()).status == 200);
+    CHECK(submit_request(s.dispatcher.address(), s.order()).status == 200);
   for (const Seen& seen : s.fleet.seen())
     CHECK(seen.uid != "s-1");
   // A call at either address counts at both.
   CHECK(call(s.dispatcher.operators(), "POST", "/admin/cordon?id=s-2").status == 200);
   s.until([&] {
-    return s.stats(s.dispatcher.old_operators()).figure("dispatcher.out_of_rotation") == 2;
+    return s.stats(s.dispatcher.outgoing_admin_address()).figure("dispatcher.out_of_rotation") == 2;
   });
-  CHECK(call(s.dispatcher.old_operators(), "POST", "/admin/uncordon?id=s-1").status == 200);
+  CHECK(call(s.dispatcher.outgoing_admin_address(), "POST", "/admin/uncordon?id=s-1").status ==
+        200);
   s.until(
       [&] { return s.stats(s.dispatcher.operators()).figure("dispatcher.out_of_rotation") == 1; });
-  CHECK(s.dispatcher.end_old() == 0);
+  CHECK(s.dispatcher.terminate_outgoing() == 0);
   CHECK(s.stats(s.dispatcher.operators()).figure("dispatcher.out_of_rotation") == 1);
 }
 
 TEST_CASE("the one that lives serves on") {
   Scene s;
   auto serves = [&] {
-    return hand_in(s.dispatcher.address(), s.order()).status == 200;
+    return submit_request(s.dispatcher.address(), s.order()).status == 200;
   };
   SECTION("the new one dies after taking over") {
-    REQUIRE(s.dispatcher.start_beside());
-    s.dispatcher.kill_now();
-    s.until([&] { return s.logged("takes connections again"); });
+    REQUIRE(s.dispatcher.start_hot_restart());
+    s.dispatcher.kill_newest();
+    s.until([&] { return s.logged("accepts connections again"); });
     CHECK(serves());
-    REQUIRE(s.dispatcher.start_beside());  // and a further one finds it
-    CHECK(s.dispatcher.end_old() == 0);
+    REQUIRE(s.dispatcher.start_hot_restart());  // and a further one finds it
+    CHECK(s.dispatcher.terminate_outgoing() == 0);
   }
   SECTION("the new one's configuration is broken") {
     std::string path = s.dispatcher.folder() + "/config.json";
     std::string text;
     std::getline(std::ifstream(path), text, '\0');
     std::ofstream(path) << "{";
-    CHECK_FALSE(s.dispatcher.start_beside());
+    CHECK_FALSE(s.dispatcher.start_hot_restart());
     std::ofstream(path) << text;
-    REQUIRE(s.dispatcher.start_beside());
-    CHECK(s.dispatcher.end_old() == 0);
+    REQUIRE(s.dispatcher.start_hot_restart());
+    CHECK(s.dispatcher.terminate_outgoing() == 0);
   }
   SECTION("it was killed outright, and its socket lies there") {
-    s.dispatcher.kill_now();
+    s.dispatcher.kill_newest();
   }
   SECTION("a second upgrade before the first has ended") {
     Regular client(s.dispatcher.address());
-    REQUIRE(s.dispatcher.start_beside());
-    CHECK(client.hand_in(s.order()).status == 200);
-    CHECK(s.dispatcher.end_old() == 0);
-    REQUIRE(s.dispatcher.start_beside());
-    CHECK(client.hand_in(s.order()).status == 200);
-    CHECK(s.dispatcher.end_old() == 0);
-    CHECK(client.hand_in(s.order()).status == 200);
+    REQUIRE(s.dispatcher.start_hot_restart());
+    CHECK(client.submit_request(s.order()).status == 200);
+    CHECK(s.dispatcher.terminate_outgoing() == 0);
+    REQUIRE(s.dispatcher.start_hot_restart());
+    CHECK(client.submit_request(s.order()).status == 200);
+    CHECK(s.dispatcher.terminate_outgoing() == 0);
+    CHECK(client.submit_request(s.order()).status == 200);
   }
   SECTION("a file stands where the socket should") {
     std::string path = s.dispatcher.folder() + "/tmp/oatledge.sock";
     std::filesystem::remove(path);
     std::ofstream(path) << "mine";
-    s.dispatcher.kill_now();
+    s.dispatcher.kill_newest();
     CHECK(s.logged("and no socket"));
     std::string text;
     std::getline(std::ifstream(path), text);
--- a/tests/processes/fleet_process_test.cpp
+++ b/tests/processes/fleet_process_test.cpp
@@ -196,7 +196,7 @@
     return std::chrono::system_clock::now() >=
            std::chrono::sys_seconds(std::chrono::seconds(own + 1));
   });
-  REQUIRE(fleet.member(5).start_beside());
+  REQUIRE(fleet.member(5).start_hot_restart());
   fleet.wait_until_agreed();
   // The membership view was transferred with each member's incarnation. On a busy machine a member
   // may be suspected for a moment and refutes that with the next incarnation; no other increase is
@@ -212,7 +212,7 @@
       CHECK(fleet.any_log_contains(suspicion));
     }
   }
-  CHECK(fleet.member(5).end_old() == 0);
+  CHECK(fleet.member(5).terminate_outgoing() == 0);
   fleet.wait_until_agreed();
   for (int i = 0; i < kMembers; ++i)
     CHECK(fleet.member(i).log().find("is left") == std::string::npos);
--- a/tests/processes/program_process.sh
+++ b/tests/processes/program_process.sh
@@ -36,7 +36,7 @@
 listen=127.$(($$ % 250 + 1)).$(($$ / 250 % 250)).8:47011
 ROUTER_CONFIG=$copy ROUTER_LISTEN=$listen ROUTER_DISCOVERY=127.0.0.1:1 "$program" 2>"$log" &
 pid=$!
-until grep -q '^names: ' "$log"; do  # its first call to discovery has failed: the loop is turning
+until grep -q '^discovery: ' "$log"; do  # its first call to discovery has failed: the loop is turning
   kill -0 "$pid" 2>/dev/null || fail "it ended by itself"
   sleep 0.05
 done
@@ -66,7 +66,7 @@
 ROUTER_CONFIG=$copy ROUTER_LISTEN=$listen ROUTER_DISCOVERY=127.0.0.1:1 \
   env --block-signal=HUP sh -c 'kill -HUP $$; exec "$1"' sh "$program" 2>"$log" &
 pid=$!
-says '^names: '
+says '^discovery: '
 says '^reload: configuration read; discovery moves to 127'
 kill -TERM "$pid"
 wait "$pid" || fail "it did not end well after SIGTERM, started with SIGHUP"
--- a/tests/program/config_test.cpp
+++ b/tests/program/config_test.cpp
@@ -88,7 +88,7 @@
   next.settings.tenant_quotas = {5, 7};
   next.settings.classes[0].deadline = scheduling::Duration(77);
   next.settings.classes[0].kind = 0;
-  program::keep_numbers(now, next);
+  program::keep_indexes(now, next);
   CHECK(next.words.classes == std::vector<std::string>{"place-order", "group-order", "new"});
   CHECK(next.words.dropped == std::vector<bool>{true, false, false});
   CHECK(next.settings.classes[0].deadline == now.settings.classes[0].deadline);
@@ -108,6 +108,6 @@
   CHECK(s.connected >= 150);
   c.memory_mb = 64;
   CHECK(program::share_descriptors(c).accepted == 256);
-  c.most_open = 10;
+  c.max_open_requests = 10;
   CHECK(program::share_descriptors(c).commands == 10);
 }
--- a/tests/streaming/streaming_test.cpp
+++ b/tests/streaming/streaming_test.cpp
@@ -31,7 +31,7 @@
       REQUIRE(run(first).status == 200);
     }
   }
-  Answer run(Order order) { return hand_in(dispatcher.address(), order); }
+  Answer run(Order order) { return submit_request(dispatcher.address(), order); }
   template <class Done>
   void until(Done done) {  // a test that hangs here is ended by the test runner
     while (!done())
@@ -41,7 +41,8 @@
     std::vector<Answer> answers(orders.size());
     std::vector<std::thread> threads;
     for (std::size_t i = 0; i < orders.size(); ++i)
-      threads.emplace_back([&, i] { answers[i] = hand_in(dispatcher.address(), orders[i]); });
+      threads.emplace_back(
+          [&, i] { answers[i] = submit_request(dispatcher.address(), orders[i]); });
     for (std::thread& t : threads)
       t.join();
     return answers;
@@ -255,19 +256,19 @@
 
 // ---- The pure parts ----
 
-using dispatcher::streaming::Budget;
 using dispatcher::streaming::kChunkBytes;
+using dispatcher::streaming::MemoryBudget;
 using dispatcher::streaming::Pipe;
 
 TEST_CASE(
     "the budget: never over its ceiling, never a lane without its chunk, room left for newcomers") {
-  Budget budget(100 * kChunkBytes, 40 * kChunkBytes);
+  MemoryBudget budget(100 * kChunkBytes, 40 * kChunkBytes);
   std::uint64_t random = 7;
   auto draw = [&](std::uint64_t n) {
     random = random * 6364136223846793005u + 1442695040888963407u;
     return (random >> 33) % n;
   };
-  std::vector<Budget::Lane> lanes;
+  std::vector<MemoryBudget::Lane> lanes;
   for (int step = 0; step < 200'000; ++step) {
     if (lanes.empty() || draw(50) == 0) {
       if (auto lane = budget.open()) {
@@ -293,7 +294,7 @@
 }
 
 TEST_CASE("a pipe keeps its first bytes, and lets them go for room rather than stand still") {
-  Budget budget(4 * kChunkBytes, 2 * kChunkBytes);
+  MemoryBudget budget(4 * kChunkBytes, 2 * kChunkBytes);
   Pipe pipe(*budget.open(), 3 * kChunkBytes);
   pipe.append(std::string(2 * kChunkBytes, 'a'));
   CHECK(pipe.capacity() == 0);
--- a/tests/transport/sockets_test.cpp
+++ b/tests/transport/sockets_test.cpp
@@ -270,7 +270,7 @@
     loop.turn();
   std::string worker;  // one that is near to both
   for (int i = 0; worker.empty(); ++i) {
-    auto near = dispatcher::fleet::near_to("s-" + std::to_string(i), 24);
+    auto near = dispatcher::fleet::neighborhood_of("s-" + std::to_string(i), 24);
     if (std::ranges::count(near, 0) && std::ranges::count(near, 1))
       worker = "s-" + std::to_string(i);
   }
