--- a/tests/scheduling/worker_health_test.cpp
+++ b/tests/scheduling/worker_health_test.cpp
@@ -63,7 +63,7 @@
     scene.request(id, 100);
   scene.pass(5000);
   for (const Action& action : scene.of(ActionKind::Log))
-    EXPECT_EQ(action.text.find("taken as down"), std::string::npos);
+    EXPECT_EQ(action.text.find("ejected"), std::string::npos);
 }
 
 TEST(Health, ASlowIdempotentRequestIsHedgedAndTheWaitingAttemptIsCancelled) {
